--- a/cmd/headmill/bench.go
+++ b/cmd/headmill/bench.go
@@ -19,8 +19,8 @@
 
 	"headmill/internal/bench"
 	"headmill/internal/config"
-	"headmill/internal/standin/lister"
-	"headmill/internal/standin/stage"
+	"headmill/internal/standin/cluster"
+	"headmill/internal/standin/discovery"
 	"headmill/internal/token"
 )
 
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	list, err := lister.Start(lister.Config{Addr: "127.0.0.1:0", SilentMs: 1e9})
+	list, err := discovery.Start(discovery.Config{Addr: "127.0.0.1:0", SilentMs: 1e9})
 	if err != nil {
 		return err
 	}
@@ -54,9 +54,9 @@
 		c.Boxes = max(c.Boxes, 64)
 	}
 	var boxes []string
-	var peers []*bench.Box
+	var peers []*bench.Node
 	for i := range c.Boxes {
-		b, err := bench.StartBox()
+		b, err := bench.StartNode()
 		if err != nil {
 			return err
 		}
@@ -68,13 +68,13 @@
 		}
 		resp.Body.Close()
 	}
-	s := stage.Small(1, c.Boxes, 6, 60000).Base
+	s := cluster.Small(1, c.Boxes, 6, 60000).Base
 	s.Director.Name, s.Director.FirstStart, s.List.Addr, s.Tokens.Keys = "bench", true, list.Addr(), "keys.json"
-	s.Fleet.Places, s.Fleet.AllLinksKB, s.Fleet.UplinkKB = []int{1000000}, 1e9, 1e9
+	s.Fleet.StreamsByKind, s.Fleet.TotalLinkKB, s.Fleet.UplinkKB = []int{1000000}, 1e9, 1e9
 	s.Limits.Entries = 1 << 20
 	s.Log.File = filepath.Join(dir, "log")
 	for i := range s.Classes {
-		s.Classes[i].Seats = 0
+		s.Classes[i].MaxPerTitle = 0
 	}
 	key := token.NewKey("k1", []byte("only for measurements on loopback")[:32])
 	if err := os.WriteFile(filepath.Join(dir, "keys.json"), token.FormatKeys([]token.Key{key}, false), 0o644); err != nil {
@@ -192,7 +192,7 @@
 }
 
 // sockets measures players on the session API.
-func (c *benchCmd) sockets(exe, conf string, key token.Key, s *config.Settings, boxes []*bench.Box) error {
+func (c *benchCmd) sockets(exe, conf string, key token.Key, s *config.Settings, boxes []*bench.Node) error {
 	cmd, addr, end, err := c.server(exe, "", []string{"serve", conf, "--follow-stdin"})
 	if err != nil {
 		return err
--- a/cmd/headmill/node.go
+++ b/cmd/headmill/node.go
@@ -12,7 +12,7 @@
 
 	"headmill/internal/config"
 	"headmill/internal/loop"
-	"headmill/internal/platform/node"
+	"headmill/internal/platform/proxy"
 )
 
 type nodeCmd struct {
@@ -26,7 +26,7 @@
 func (c *nodeCmd) Run() error {
 	sigs := make(chan os.Signal, 4) // first of all: until then a signal ends the process
 	signal.Notify(sigs, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	cfg, err := node.Load(c.Config)
+	cfg, err := proxy.Load(c.Config)
 	if err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := node.New(cfg, l, log)
+	n, err := proxy.New(cfg, l, log)
 	if err != nil {
 		return err
 	}
@@ -90,9 +90,9 @@
 
 // loadAgain reads the configuration after SIGHUP. A file that is still being written, or no descriptor to read it with,
 // is over in a moment: it is tried for two seconds.
-func loadAgain(path string) (cfg *node.Config, err error) {
+func loadAgain(path string) (cfg *proxy.Config, err error) {
 	for range 20 {
-		if cfg, err = node.Load(path); err == nil {
+		if cfg, err = proxy.Load(path); err == nil {
 			return cfg, nil
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/cmd/headmill/quality.go
+++ b/cmd/headmill/quality.go
@@ -133,7 +133,7 @@
 
 func (c *showCmd) groups(clients []pb.OperatorClient) error {
 	sum := map[string]*quality.Group{}
-	var told []quality.Told
+	var told []quality.DirectorFinding
 	answered := 0
 	for i, cl := range clients {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -145,7 +145,7 @@
 		}
 		answered++
 		for _, f := range r.Findings {
-			told = append(told, quality.Told{Director: r.Director, Dim: f.Dimension, Name: f.Name, SinceMs: f.SinceMs, Load: f.Load,
+			told = append(told, quality.DirectorFinding{Director: r.Director, Dim: f.Dimension, Name: f.Name, SinceMs: f.SinceMs, Load: f.Load,
 				Sessions: f.Sessions, Short: f.Short})
 		}
 		for _, g := range r.Groups {
@@ -178,7 +178,7 @@
 		}
 		return int(map[bool]float64{true: -1, false: 1}[a.Name < b.Name])
 	})
-	findings := quality.Join(told)
+	findings := quality.MergeFindings(told)
 	if c.JSON {
 		line, err := json.Marshal(map[string]any{"groups": rows, "findings": findings, "directors": answered})
 		if err != nil {
--- a/cmd/headmill/serve.go
+++ b/cmd/headmill/serve.go
@@ -15,7 +15,7 @@
 	"headmill/internal/history"
 	"headmill/internal/logfile"
 	"headmill/internal/loop"
-	"headmill/internal/standin/box"
+	"headmill/internal/standin/medianode"
 	"headmill/internal/token"
 	"headmill/internal/trace"
 )
@@ -183,11 +183,11 @@
 	if err != nil {
 		return err
 	}
-	var cfg box.Config
+	var cfg medianode.Config
 	if err := json.Unmarshal(text, &cfg); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	b, err := box.Start(cfg)
+	b, err := medianode.Start(cfg)
 	if err != nil {
 		return err
 	}
--- a/cmd/headmill/token.go
+++ b/cmd/headmill/token.go
@@ -92,7 +92,7 @@
 		jti = hex.EncodeToString(b[:])
 	}
 	now := time.Now()
-	return token.Claims{Title: title, Class: class, Brand: brand, Top: top, RegisteredClaims: jwt.RegisteredClaims{
+	return token.Claims{Title: title, Class: class, Tenant: brand, MaxRung: top, RegisteredClaims: jwt.RegisteredClaims{
 		Subject: viewer, ID: jti, IssuedAt: jwt.NewNumericDate(now), ExpiresAt: jwt.NewNumericDate(now.Add(valid))}}
 }
 
--- a/cmd/headmill/up.go
+++ b/cmd/headmill/up.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"headmill/decide/once"
-	"headmill/internal/standin/stage"
+	"headmill/decide/idempotency"
+	"headmill/internal/standin/cluster"
 )
 
 type upCmd struct {
@@ -40,10 +40,10 @@
 	if err != nil {
 		return err
 	}
-	spec := stage.Small(c.Directors, c.Boxes, 6, c.ClipS*1000)
+	spec := cluster.Small(c.Directors, c.Boxes, 6, c.ClipS*1000)
 	spec.Exe, spec.Dir = exe, dir
 	spec.ListAddMs, spec.Box.IdleMs = 0, 30000
-	st, err := stage.New(spec)
+	st, err := cluster.New(spec)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 		out.Manifests = append(out.Manifests, st.Directors[home(st, claims.ID)].URL+"/dash/"+t.Name+"/manifest.mpd?token="+raw)
 	}
 	_, scriptErr := os.Stat(c.Dashjs)
-	addr, err := stage.Page(c.Dashjs, &out)
+	addr, err := cluster.Page(c.Dashjs, &out)
 	if err != nil {
 		return err
 	}
@@ -114,12 +114,12 @@
 }
 
 // home is the director that answers for a paid token; any other one would send its viewer there.
-func home(st *stage.Stage, jti string) int {
+func home(st *cluster.Cluster, jti string) int {
 	var names []string
 	for _, m := range st.Directors {
 		names = append(names, m.Name)
 	}
-	return once.Home(jti, names)
+	return idempotency.Owner(jti, names)
 }
 
 func stateDir(path string) (string, error) {
--- a/controller.go
+++ b/controller.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	mark         = FillTo  // share of a link or uplink that set-ups may fill: rates spread
-	reliefAt     = 1.0     // load above which own sessions are lowered: shares under 0.98 cost worth
-	worseAt      = 1.06    // load above which rungs that earn most for a kB go down too: viewers leave next
-	reliefTo     = 0.97    // load that a relief aims at: no more is lowered than what falls short
-	raiseTo      = RaiseTo // link load that raising may reach: a change costs, so room is left for set-ups
-	tickMs       = 250.0   // ms between looks at the fleet: well under the second after which viewers notice
-	payback      = 2.0     // a rung is raised only for this many times the price of the change
-	lifeGuessS   = 15.0    // s a session of unknown length is taken to go on
-	alikeMs      = 1500.0  // ms within which two servers short alike point to their uplink
-	alikeShare   = 0.04    // difference of shares of two servers short alike
-	hungAt       = 3.0     // load from a share above which a server stands still
-	uplinkBack   = 1.01    // growth a tick of a learned uplink back to the mean: 4% a second
-	wholeStep    = 0.9     // part of a further step that must fit; the first is taken by chance
-	settleMs     = 4000.0  // ms for which a changed rung is not raised again, against flapping
-	reportAgeMs  = 400.0   // ms that a load report is taken to be old
-	reportPart   = 0.5     // weight of a load report against the estimate: reports are noisy
-	firstTryPart = 0.45    // share of the aim that a repeatable attempt may take when another can follow
-	trialMs      = 1000.0  // ms a failed server rests at first; doubles with each failure in a row
-	trialMaxMs   = 8000.0  // ms it rests at most
-	fullMs       = 1000.0  // ms for which a server that answered full fails the test
-	staleTo      = 0.8     // load to which an old measurement above it fades: low rungs are tried there again
-	staleFadeMs  = 3000.0  // ms in which it fades by two thirds
-	spareMs      = 1000.0  // ms past the told interval and lateness after which a measurement is old
-	streamFadeMs = 15000.0 // ms in which told streams of others fade by two thirds: sessions end unseen
-	farLoad      = 0.1     // load that a near holder may have over a far one: crossing zones has a price
-	guessLoad    = 0.5     // load of a fleet of which nothing has been heard
-	meanPart     = 0.1     // weight of a measurement in the mean: one full server must not shut a fresh front
-	logEveryMs   = 2000.0  // ms between log lines about one server
-	forgetMs     = 60000.0 // ms after which a server that has gone is forgotten
-	tokensMost   = 1 << 16 // tokens kept; titles that nobody holds can be asked for without end
+	mark         = MaxSetupLoad // share of a link or uplink that set-ups may fill: rates spread
+	reliefAt     = 1.0          // load above which own sessions are lowered: shares under 0.98 cost worth
+	worseAt      = 1.06         // load above which rungs earning most per kB go down too: viewers leave next
+	reliefTo     = 0.97         // load that a relief aims at: no more is lowered than what falls short
+	raiseTo      = MaxRaiseLoad // link load that raising may reach: a change costs, room is for set-ups
+	tickMs       = 250.0        // ms between looks at the fleet: under the 1 s after which viewers notice
+	payback      = 2.0          // a rung is raised only for this many times the price of the change
+	lifeGuessS   = 15.0         // s a session of unknown length is taken to go on
+	alikeMs      = 1500.0       // ms within which two servers short alike point to their uplink
+	alikeShare   = 0.04         // difference of shares of two servers short alike
+	hungAt       = 3.0          // load from a share above which a server stands still
+	uplinkBack   = 1.01         // growth a tick of a learned uplink back to the mean: 4% a second
+	wholeStep    = 0.9          // part of a further step that must fit; the first is taken by chance
+	settleMs     = 4000.0       // ms for which a changed rung is not raised again, against flapping
+	reportAgeMs  = 400.0        // ms that a load report is taken to be old
+	reportPart   = 0.5          // weight of a load report against the estimate: reports are noisy
+	firstTryPart = 0.45         // share of the aim that a repeatable attempt may take when another can follow
+	trialMs      = 1000.0       // ms a failed server rests at first; doubles with each failure in a row
+	trialMaxMs   = 8000.0       // ms it rests at most
+	fullMs       = 1000.0       // ms for which a server that answered full fails the test
+	staleTo      = 0.8          // load to which an old measurement above it fades: low rungs are tried again
+	staleFadeMs  = 3000.0       // ms in which it fades by two thirds
+	spareMs      = 1000.0       // ms past the told interval and lateness after which a measurement is old
+	streamFadeMs = 15000.0      // ms in which told streams of others fade by two thirds: sessions end unseen
+	farLoad      = 0.1          // load that a near holder may have over a far one: crossing zones has a price
+	guessLoad    = 0.5          // load of a fleet of which nothing has been heard
+	meanPart     = 0.1          // weight of a measurement in the mean: one full node must not shut a front
+	logEveryMs   = 2000.0       // ms between log lines about one server
+	forgetMs     = 60000.0      // ms after which a server that has gone is forgotten
+	tokensMost   = 1 << 16      // tokens kept; titles that nobody holds can be asked for without end
 	tickTimer    = 1
 )
 
@@ -103,7 +103,7 @@
 
 // server is the view of one media server.
 type server struct {
-	Server
+	Node
 	rack             *rack
 	off              bool    // draining or gone, from the moment it was told
 	goneAt           float64 // when it was told gone; 0: it is there
@@ -140,7 +140,7 @@
 	errs                int     // attempts that erred
 	spare               float64 // share of a server's places that must stay free beside it
 	tries               int
-	tried               []ServerID
+	tried               []NodeID
 	ranAt               float64 // of the first attempt that may have run
 	ranOn               *server
 	changed, playedAt   float64 // last change of rung, start of play
@@ -165,7 +165,7 @@
 	began         float64 // time of the first Step
 	now, perPlace float64 // kB/s of link for each place, where weights tell nothing
 	out           []Action
-	servers       map[ServerID]*server
+	servers       map[NodeID]*server
 	order         []*server   // by id: the order of every walk
 	cells         [][]*server // by cell, each in the same order
 	racks         []*rack
@@ -187,11 +187,13 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	c := &Controller{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x6865616d)), servers: map[ServerID]*server{},
+	c := &Controller{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x6865616d)), servers: map[NodeID]*server{},
 		sessions: map[SessionID]*session{}, seats: map[seatKey]int{}, tokens: map[uint64]*server{},
-		mean: guessLoad, cells: make([][]*server, cfg.Cells), stale: cfg.TellMs + cfg.ToldLateMs + spareMs}
+		mean: guessLoad, cells: make([][]*server, cfg.Cells),
+		stale: cfg.ReportIntervalMs + cfg.ReportDelayMs + spareMs}
 	for _, k := range cfg.Classes {
-		c.highest = math.Max(c.highest, 2*k.Value*cfg.RungWorth[len(cfg.RungWorth)-1]/(cfg.RateKB[0]*k.Scale))
+		c.highest = math.Max(c.highest,
+			2*k.Value*cfg.RungWorth[len(cfg.RungWorth)-1]/(cfg.RateKB[0]*k.RateScale))
 	}
 	for i := range c.cfg.Classes {
 		for top := range cfg.RateKB {
@@ -213,19 +215,19 @@
 	for i := range events {
 		ev := &events[i]
 		switch ev.Kind {
-		case EvServers:
+		case EvNodes:
 			c.list(ev)
 		case EvRequest:
 			c.arrive(ev)
-		case EvExisting:
+		case EvExistingSession:
 			c.existing(ev)
-		case EvPlaying:
+		case EvAttemptPlaying:
 			c.playing(ev)
-		case EvNote:
+		case EvFeedback:
 			c.note(ev)
-		case EvSettled:
+		case EvAttemptEnded:
 			c.settled(ev)
-		case EvGone:
+		case EvViewerLeft:
 			if s := c.sessions[ev.Session]; s != nil {
 				s.deadline = now // finished: no further attempt
 			}
@@ -244,24 +246,24 @@
 // ---- server view ----
 
 func (c *Controller) list(ev *Event) {
-	if ev.ListFailed || c.cfg.Subscribe && len(c.order) == 0 {
-		c.out = append(c.out, Action{Kind: ActWatch})
+	if ev.ListUnavailable || c.cfg.SubscribeToNodes && len(c.order) == 0 {
+		c.out = append(c.out, Action{Kind: ActSubscribe})
 	}
-	if ev.ListFailed {
+	if ev.ListUnavailable {
 		return
 	}
-	seen := make(map[ServerID]bool, len(ev.Servers))
-	for _, e := range ev.Servers {
+	seen := make(map[NodeID]bool, len(ev.Nodes))
+	for _, e := range ev.Nodes {
 		seen[e.ID] = true
 		s := c.servers[e.ID]
 		if s == nil {
-			s = &server{Server: e, others: -1, rack: c.racks[e.Cell%c.cfg.Racks], coldAt: e.UpSinceMs}
+			s = &server{Node: e, others: -1, rack: c.racks[e.Cell%c.cfg.Racks], coldAt: e.StartedAtMs}
 			c.servers[e.ID] = s
 			c.order = append(c.order, s)
-		} else if e.UpSinceMs > s.UpSinceMs { // restarted: cold, and what it had is gone
-			s.coldAt, s.lost, s.fails, s.until, s.link.known = e.UpSinceMs, false, 0, 0, false
+		} else if e.StartedAtMs > s.StartedAtMs { // restarted: cold, and what it had is gone
+			s.coldAt, s.lost, s.fails, s.until, s.link.known = e.StartedAtMs, false, 0, 0, false
 		}
-		s.Server, s.off = e, e.Health != Ready
+		s.Node, s.off = e, e.Health != Ready
 	}
 	c.order = slices.DeleteFunc(c.order, func(s *server) bool {
 		s.off = s.off || !ev.Delta && !seen[s.ID]
@@ -294,19 +296,19 @@
 		for _, s := range c.order {
 			total += size(s)
 		}
-		c.perPlace = c.cfg.AllLinksKB / max(total, 1)
+		c.perPlace = c.cfg.TotalLinkKB / max(total, 1)
 	}
 	for _, s := range c.order {
 		s.link.cap = size(s) * c.perPlace
-		if c.cfg.WeightsKnown && c.cfg.LinkUnitKB > 0 || s.link.cap == 0 {
-			s.link.cap = math.Max(math.Max(s.Weight, 0.01)*c.cfg.LinkUnitKB, c.cfg.RateKB[0])
+		if c.cfg.WeightsKnown && c.cfg.LinkKBPerWeight > 0 || s.link.cap == 0 {
+			s.link.cap = math.Max(math.Max(s.Weight, 0.01)*c.cfg.LinkKBPerWeight, c.cfg.RateKB[0])
 		}
 	}
 }
 
 func (c *Controller) places(s *server) float64 {
-	if s.Kind < len(c.cfg.Places) {
-		return float64(c.cfg.Places[s.Kind])
+	if s.Kind < len(c.cfg.StreamsByKind) {
+		return float64(c.cfg.StreamsByKind[s.Kind])
 	}
 	return math.Inf(1)
 }
@@ -346,7 +348,7 @@
 func (c *Controller) load(s *server) float64 { return math.Max(c.linkLoad(s), c.rackLoad(s.rack)) }
 
 func (c *Controller) cold(s *server) bool {
-	return s.coldAt > 0 && c.now-s.coldAt < c.cfg.WarmWithinMs
+	return s.coldAt > 0 && c.now-s.coldAt < c.cfg.WarmUpMs
 }
 
 func (c *Controller) failed(s *server, why string) {
@@ -364,7 +366,7 @@
 }
 
 func (c *Controller) report(s *server, r *Report) {
-	if !r.Told {
+	if !r.Present {
 		return
 	}
 	at := c.now - reportAgeMs
@@ -389,7 +391,9 @@
 
 // ---- sessions on servers ----
 
-func (c *Controller) rate(class *Class, rung int) float64 { return c.cfg.RateKB[rung] * class.Scale }
+func (c *Controller) rate(class *Class, rung int) float64 {
+	return c.cfg.RateKB[rung] * class.RateScale
+}
 
 func (c *Controller) attach(s *session, v *server, rung int) {
 	s.server, s.rung = v, rung
@@ -422,7 +426,7 @@
 
 // setRung is the only place that emits a rung: never under the floor, over the class or over the viewer.
 func (c *Controller) setRung(s *session, rung int) {
-	rung = max(min(rung, s.top), s.class.Floor)
+	rung = max(min(rung, s.top), s.class.MinRung)
 	kb := c.rate(s.class, rung) - c.rate(s.class, s.rung)
 	if s.server == nil || kb == 0 {
 		return
@@ -430,29 +434,29 @@
 	s.server.link.add(c.now, kb)
 	s.server.rack.up.add(c.now, kb)
 	s.rung, s.changed = rung, c.now
-	c.out = append(c.out, Action{Kind: ActRung, Session: s.id, Rung: rung})
+	c.out = append(c.out, Action{Kind: ActSetRung, Session: s.id, Rung: rung})
 }
 
 func (c *Controller) newSession(ev *Event) *session {
 	k := &c.cfg.Classes[min(ev.Class, len(c.cfg.Classes)-1)]
 	s := &session{id: ev.Session, class: k, classNo: ev.Class, title: ev.Title,
-		home: ev.Home, n: ev.Copies, deadline: c.now + ev.RemainingMs, spare: ev.Spare,
-		top: min(ev.TopRung, k.Top, len(c.cfg.RateKB)-1)}
+		home: ev.FirstCell, n: ev.Copies, deadline: c.now + ev.TimeLeftMs, spare: ev.Headroom,
+		top: min(ev.MaxRung, k.MaxRung, len(c.cfg.RateKB)-1)}
 	s.sort = min(ev.Class, len(c.cfg.Classes)-1)*len(c.cfg.RateKB) + max(s.top, 0)
-	if ev.HintMs > 0 {
-		s.endGuess = c.now + ev.HintMs
+	if ev.DurationHintMs > 0 {
+		s.endGuess = c.now + ev.DurationHintMs
 	}
 	c.sessions[s.id] = s
 	return s
 }
 
 func (c *Controller) existing(ev *Event) {
-	s, v := c.newSession(ev), c.servers[ev.Server]
+	s, v := c.newSession(ev), c.servers[ev.Node]
 	if v == nil {
 		return
 	}
 	s.tries = 1
-	c.attach(s, v, s.class.Floor)
+	c.attach(s, v, s.class.MinRung)
 	s.playing = true
 	v.link.log, v.rack.up.log = v.link.log[:len(v.link.log)-1], v.rack.up.log[:len(v.rack.up.log)-1]
 }
@@ -461,7 +465,7 @@
 
 func (c *Controller) arrive(ev *Event) {
 	s := c.newSession(ev)
-	if c.cfg.RetryRationed {
+	if c.cfg.RetryBudget {
 		c.taken = append(c.taken, c.now)
 	}
 	c.place(s)
@@ -481,7 +485,7 @@
 }
 
 func (c *Controller) healthy(s *session, v *server) bool {
-	if c.now < v.until || (v.fails > 0 && (v.pending > 0 || s.class.Repeat == Once)) {
+	if c.now < v.until || (v.fails > 0 && (v.pending > 0 || s.class.Semantics == AtMostOnce)) {
 		return false
 	}
 	return !slices.Contains(s.tried, v.ID)
@@ -572,7 +576,7 @@
 // leastRung is the rung that earns the most for a kB. A session under it uses room with which another would
 // earn more, so none is set up there: those that play would go to the floor for it, and all earn less.
 func (c *Controller) leastRung(s *session) int {
-	best := s.class.Floor
+	best := s.class.MinRung
 	for r := best + 1; r <= s.top; r++ {
 		if c.worth(s, r)*c.cfg.RateKB[best] > c.worth(s, best)*c.cfg.RateKB[r] {
 			best = r
@@ -583,8 +587,8 @@
 
 // bestRung is the rung with the most worth left after its rate is paid for at the price.
 func (c *Controller) bestRung(k *Class, top int, price float64) int {
-	best, most := k.Floor, math.Inf(-1)
-	for r := k.Floor; r <= top; r++ {
+	best, most := k.MinRung, math.Inf(-1)
+	for r := k.MinRung; r <= top; r++ {
 		if v := k.Value*c.cfg.RungWorth[r] - price*c.rate(k, r); v > most {
 			best, most = r, v
 		}
@@ -594,14 +598,14 @@
 
 // effective is what a server can carry once the rack's uplink is shared out among its links.
 func (c *Controller) effective(v *server) float64 {
-	return v.link.cap * math.Min(1, v.rack.up.cap*float64(c.cfg.Racks)/math.Max(c.cfg.AllLinksKB, 1))
+	return v.link.cap * math.Min(1, v.rack.up.cap*float64(c.cfg.Racks)/math.Max(c.cfg.TotalLinkKB, 1))
 }
 
 // price is the worth of a kB/s at which all sessions on the holders, the newcomer included, would just fill
 // what they carry. The front's own sessions stand for those of all fronts, so that the price does not
 // depend on how many fronts there are. Departure from "the viewer's highest rung first".
 func (c *Controller) price(holders []*server, s *session) float64 {
-	mid := c.cfg.RateKB[len(c.cfg.RateKB)/2] * s.class.Scale
+	mid := c.cfg.RateKB[len(c.cfg.RateKB)/2] * s.class.RateScale
 	own, asked, room := mid, mid, 0.0
 	for _, v := range c.order {
 		own += v.link.own
@@ -638,7 +642,7 @@
 
 // loss is the worth given up for each kB/s freed when a session goes down one rung.
 func (c *Controller) loss(s *session) float64 {
-	if s.plan <= s.class.Floor {
+	if s.plan <= s.class.MinRung {
 		return math.Inf(1)
 	}
 	return c.gain(s, s.plan-1) / c.step(s, s.plan-1)
@@ -710,18 +714,18 @@
 	if v.off || s.server != nil || c.now >= s.deadline || s.tries >= c.cfg.MaxAttempts {
 		return false // drains; one attempt at a time; deadline; attempts
 	}
-	if k := s.class; k.Seats > 0 && c.seats[seatKey{s.title, s.classNo}] >= k.Seats {
+	if k := s.class; k.MaxPerTitle > 0 && c.seats[seatKey{s.title, s.classNo}] >= k.MaxPerTitle {
 		return false // terms
 	}
 	if s.mayHaveRun {
 		switch k := s.class; {
-		case k.Repeat == Once, k.Repeat == ByKey && c.now-s.ranAt > k.KeyTTLMs,
-			k.Repeat == ByKey && k.KeyScope == ScopeZone && v.Zone != s.ranOn.Zone,
-			k.Repeat == ByKey && k.KeyScope == ScopeCell && v.Cell != s.ranOn.Cell:
+		case k.Semantics == AtMostOnce, k.Semantics == IdempotentByKey && c.now-s.ranAt > k.KeyTTLMs,
+			k.Semantics == IdempotentByKey && k.KeyScope == ScopeZone && v.Zone != s.ranOn.Zone,
+			k.Semantics == IdempotentByKey && k.KeyScope == ScopeCell && v.Cell != s.ranOn.Cell:
 			return false // no effect twice
 		}
 	}
-	if s.tries > 0 && c.cfg.RetryRationed && !c.ration() {
+	if s.tries > 0 && c.cfg.RetryBudget && !c.ration() {
 		return false // retry budget
 	}
 	return !c.cold(v) || c.coldTurn(v)
@@ -734,25 +738,25 @@
 // connection may come up late: a front of little traffic would miss a turn of one slot. One that was open
 // before this front's own start may be spent.
 func (c *Controller) coldTurn(v *server) bool {
-	slot := c.cfg.WarmWithinMs / math.Max(c.places(v)*math.Max(c.cfg.ColdFrom, 0.05), 1)
+	slot := c.cfg.WarmUpMs / math.Max(c.places(v)*math.Max(c.cfg.ColdRateFraction, 0.05), 1)
 	if !(slot > 0) {
 		return false
 	}
 	open := 1.0
-	if c.cfg.TipMs > 0 {
-		open = math.Max(1, math.Floor(2*math.Sqrt(c.cfg.TipMs/slot)+2-c.cfg.ConnectMs/slot))
+	if c.cfg.ColdWindowMs > 0 {
+		open = math.Max(1, math.Floor(2*math.Sqrt(c.cfg.ColdWindowMs/slot)+2-c.cfg.ConnectTimeoutMs/slot))
 	}
 	fronts, i := float64(c.cfg.Fronts), math.Floor(c.now/slot)
-	first := math.Mod(float64(c.cfg.Me)+float64(mix(uint64(v.ID))%uint64(c.cfg.Fronts)), fronts)
+	first := math.Mod(float64(c.cfg.Self)+float64(mix(uint64(v.ID))%uint64(c.cfg.Fronts)), fronts)
 	age := math.Mod(math.Mod(i-first, fronts)+fronts, fronts)
 	turn := (i - age) * slot // its begin; one set-up each
 	return age < open && v.lastCold < turn && turn >= c.began
 }
 
 func (c *Controller) ration() bool {
-	from := c.now - c.cfg.LookBackMs
+	from := c.now - c.cfg.RetryBudgetWindowMs
 	c.taken, c.extras = after(c.taken, from), after(c.extras, from)
-	return float64(len(c.extras)+1) <= c.cfg.MinExtra+c.cfg.RepeatRatio*float64(len(c.taken))
+	return float64(len(c.extras)+1) <= c.cfg.RetryBudgetMin+c.cfg.RetryBudgetRatio*float64(len(c.taken))
 }
 
 func after(l []float64, t float64) []float64 {
@@ -770,10 +774,10 @@
 		return
 	}
 	allow := 0.0 // until the viewer gives up
-	if s.class.Repeat == Repeatable && s.tries+1 < c.cfg.MaxAttempts {
-		allow = math.Min(s.deadline-c.now, math.Max(s.class.AimMs, 100)) * firstTryPart
+	if s.class.Semantics == Repeatable && s.tries+1 < c.cfg.MaxAttempts {
+		allow = math.Min(s.deadline-c.now, math.Max(s.class.TargetMs, 100)) * firstTryPart
 	}
-	if s.tries > 0 && c.cfg.RetryRationed {
+	if s.tries > 0 && c.cfg.RetryBudget {
 		c.extras = append(c.extras, c.now)
 	}
 	if c.cold(v) {
@@ -784,8 +788,8 @@
 	v.pending++
 	c.attach(s, v, rung)
 	s.changed = c.now
-	c.out = append(c.out, Action{Kind: ActRung, Session: s.id, Rung: rung},
-		Action{Kind: ActSend, Session: s.id, Server: v.ID, AtMs: allow})
+	c.out = append(c.out, Action{Kind: ActSetRung, Session: s.id, Rung: rung},
+		Action{Kind: ActSetup, Session: s.id, Node: v.ID, AtMs: allow})
 }
 
 // answer ends a request that nothing can be done for: refused where that is allowed, else failed.
@@ -795,13 +799,14 @@
 		c.doubts(s.erred, troubles[Failed])
 	}
 	k := s.class
-	if s.mayHaveRun && (k.Repeat == Once || k.Repeat == ByKey && k.KeyScope != ScopeAll) {
+	if s.mayHaveRun &&
+		(k.Semantics == AtMostOnce || k.Semantics == IdempotentByKey && k.KeyScope != ScopeAll) {
 		c.out = append(c.out, Action{Kind: ActFail, Session: s.id})
 		return
 	}
 	refusal := Action{Kind: ActRefuse, Session: s.id}
 	if c.cfg.RetryAfter {
-		refusal.RetryMs = c.cfg.MaxRetryAfterMs
+		refusal.RetryAfterMs = c.cfg.MaxRetryAfterMs
 	}
 	c.out = append(c.out, refusal)
 }
@@ -809,7 +814,7 @@
 // ---- outcomes and notes ----
 
 func (c *Controller) playing(ev *Event) {
-	v := c.servers[ev.Server]
+	v := c.servers[ev.Node]
 	if v != nil {
 		if v.lost {
 			v.lost, v.coldAt = false, c.now
@@ -823,22 +828,22 @@
 		s.playing, s.playedAt = true, c.now
 		s.server.pending--
 		if s.endGuess > 0 {
-			s.endGuess += ev.TookMs
+			s.endGuess += ev.LatencyMs
 		}
 	}
 }
 
 func (c *Controller) note(ev *Event) {
-	v, s := c.servers[ev.Server], c.sessions[ev.Session]
+	v, s := c.servers[ev.Node], c.sessions[ev.Session]
 	if v == nil {
 		return
 	}
-	at := c.now - c.cfg.ToldLateMs
+	at := c.now - c.cfg.ReportDelayMs
 	if s != nil && (!s.playing || s.playedAt == c.now) {
 		at = c.now // told at set-up, in the batch of EvPlaying: it is of now and includes the session
 	}
-	switch ev.Note {
-	case NoteRung:
+	switch ev.Feedback {
+	case FeedbackRung:
 		if s != nil && s.server != nil {
 			rung := max(min(int(ev.Value), len(c.cfg.RateKB)-1), 0)
 			kb := c.rate(s.class, rung) - c.rate(s.class, s.rung)
@@ -846,11 +851,11 @@
 			s.server.link.own += kb // asked before now: no change since the last measurement
 			s.server.rack.up.own += kb
 		}
-	case NoteLink:
+	case FeedbackLinkLoad:
 		c.tellLink(v, at, ev.Value)
-	case NoteUplink:
+	case FeedbackUplinkLoad:
 		v.rack.up.tell(at, ev.Value)
-	case NoteShare:
+	case FeedbackRateShare:
 		c.short(v, ev.Value)
 	}
 }
@@ -861,7 +866,7 @@
 	if share >= 0.98 || share <= 0 {
 		return
 	}
-	x, at, r := 1/share, c.now-c.cfg.ToldLateMs, v.rack
+	x, at, r := 1/share, c.now-c.cfg.ReportDelayMs, v.rack
 	alike := r.shortBy != v && c.now-r.shortAt < alikeMs && math.Abs(r.share-share) < alikeShare
 	r.shortBy, r.shortAt, r.share = v, c.now, share
 	if alike && !r.up.known && x < hungAt && c.linkLoad(v) < x-0.03 {
@@ -873,7 +878,7 @@
 }
 
 func (c *Controller) settled(ev *Event) {
-	v, s := c.servers[ev.Server], c.sessions[ev.Session]
+	v, s := c.servers[ev.Node], c.sessions[ev.Session]
 	was := s != nil && s.playing
 	if s != nil && s.server != nil {
 		c.detach(s)
@@ -888,12 +893,12 @@
 			v.full = c.now + fullMs
 		}
 	}
-	if s == nil || ev.Finished || was {
+	if s == nil || ev.SessionOver || was {
 		delete(c.sessions, ev.Session)
 		return
 	}
-	if o := ev.Outcome; !s.mayHaveRun && o != Full && o != ConnectFailed && o != Moot {
-		s.mayHaveRun, s.ranAt, s.ranOn = true, c.now-ev.TookMs, v
+	if o := ev.Outcome; !s.mayHaveRun && o != Full && o != ConnectFailed && o != NeverSent {
+		s.mayHaveRun, s.ranAt, s.ranOn = true, c.now-ev.LatencyMs, v
 	}
 	c.place(s)
 }
@@ -907,7 +912,7 @@
 		c.failed(v, why)
 	case o == Failed && s.errs > 0:
 		s.erred = nil // at another server too: the request's own
-	case o == Failed && s.class.Repeat == Repeatable:
+	case o == Failed && s.class.Semantics == Repeatable:
 		s.erred = v
 	default:
 		c.doubts(v, why)
@@ -1005,5 +1010,5 @@
 	if s.endGuess > 0 {
 		left = (s.endGuess - c.now) / 1000
 	}
-	return (c.worth(s, r)-c.worth(s, s.rung))*left >= payback*c.cfg.SwitchS*s.class.Value
+	return (c.worth(s, r)-c.worth(s, s.rung))*left >= payback*c.cfg.RungChangeCostS*s.class.Value
 }
--- a/decide/attempt/attempt.go
+++ b/decide/attempt/attempt.go
@@ -26,15 +26,15 @@
 
 // The events.
 const (
-	Start     EventKind = iota // Reused: a kept connection was at hand, else one is being opened
-	Connected                  // the opened connection stands
-	Wrote                      // Bytes of the set-up that the kernel has taken so far
-	Head                       // Status of the answer
-	Whole                      // Status, NeverRan: the answer is whole
-	Broke                      // the connection ended or could not be opened
-	Expired                    // the attempt's time is over
-	Cancelled                  // the owner gives it up
-	LateOver                   // the time for a late word is over
+	Start            EventKind = iota // Reused: a kept connection was at hand, else one is being opened
+	Connected                         // the opened connection stands
+	BytesWritten                      // Bytes of the set-up that the kernel has taken so far
+	ResponseHead                      // Status of the answer
+	ResponseComplete                  // Status, NeverRan: the answer is whole
+	ConnectionClosed                  // the connection ended or could not be opened
+	DeadlineExceeded                  // the attempt's time is over
+	Cancelled                         // the owner gives it up
+	LateWindowOver                    // the time for a late word is over
 )
 
 // Event is one fact about the connection.
@@ -51,14 +51,14 @@
 
 // The outcomes. Full and NoConnect prove that nothing ran.
 const (
-	None Outcome = iota
-	Plays
-	Full      // the box's own word
-	NoConnect // no byte of the set-up left
-	BoxError  // an answer that is no success and proves nothing
-	Reset     // the connection broke after a byte had left
-	TimedOut
-	GivenUp
+	OutcomeNone Outcome = iota
+	OutcomePlaying
+	OutcomeFull          // the box's own word
+	OutcomeConnectFailed // no byte of the set-up left
+	OutcomeError         // an answer that is no success and proves nothing
+	OutcomeReset         // the connection broke after a byte had left
+	OutcomeTimedOut
+	OutcomeCancelled
 )
 
 var outcomeNames = [...]string{"none", "plays", "full", "connect_failed", "error", "reset", "timed_out", "cancelled"}
@@ -66,20 +66,20 @@
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // NeverRan tells whether the outcome is a proof.
-func (o Outcome) NeverRan() bool { return o == Full || o == NoConnect }
+func (o Outcome) NeverRan() bool { return o == OutcomeFull || o == OutcomeConnectFailed }
 
 // ActionKind is what the caller is to do.
 type ActionKind uint8
 
 // The actions.
 const (
-	Dial     ActionKind = iota // open a new connection: the kept one had closed, and nothing was written
-	Write                      // write the set-up
-	Settle                     // tell the module: Outcome
-	Keep                       // the connection can go back to the pool
-	Cut                        // close the connection
-	TellLate                   // after Settle: the box says that it plays
-	TellVoid                   // after Settle: the box says that it never ran
+	Dial              ActionKind = iota // open a new connection: the kept one had closed, and nothing was written
+	Write                               // write the set-up
+	ReportOutcome                       // tell the module: Outcome
+	KeepConnection                      // the connection can go back to the pool
+	CloseConnection                     // close the connection
+	ReportLateSuccess                   // after Settle: the box says that it plays
+	ReportNeverRan                      // after Settle: the box says that it never ran
 )
 
 // Action is one thing to do.
@@ -93,13 +93,13 @@
 
 // The states.
 const (
-	Waiting State = iota
-	Sent
-	Answering
-	Playing
-	Settled
-	Listening
-	Closed
+	StateWaiting State = iota
+	StateSent
+	StateAnswering
+	StatePlaying
+	StateSettled
+	StateAwaitingLate
+	StateClosed
 )
 
 var stateNames = [...]string{"waiting", "sent", "answering", "playing", "settled", "listening", "closed"}
@@ -126,11 +126,11 @@
 // Step takes one fact and appends what is to be done.
 func (a *Attempt) Step(ev Event, out []Action) []Action {
 	switch a.state {
-	case Waiting:
+	case StateWaiting:
 		return a.waiting(ev, out)
-	case Sent, Answering:
+	case StateSent, StateAnswering:
 		return a.sent(ev, out)
-	case Listening:
+	case StateAwaitingLate:
 		return a.listening(ev, out)
 	}
 	return out // settled, and the connection is pooled or gone: later facts are of other attempts
@@ -146,11 +146,11 @@
 		return append(out, Action{Kind: Dial})
 	case Connected:
 		return append(out, Action{Kind: Write})
-	case Wrote:
+	case BytesWritten:
 		if ev.Bytes > 0 {
-			a.state = Sent
+			a.state = StateSent
 		}
-	case Broke:
+	case ConnectionClosed:
 		// A kept connection that the box had closed in the meantime: no byte left, so the attempt is still
 		// to be made. Once only: a second break is the box's fault and not the pool's.
 		if a.reused && a.redials == 0 {
@@ -158,32 +158,32 @@
 			a.redials++
 			return append(out, Action{Kind: Dial})
 		}
-		return a.settle(NoConnect, Closed, out)
-	case Expired:
-		return append(a.settle(NoConnect, Closed, out), Action{Kind: Cut})
+		return a.settle(OutcomeConnectFailed, StateClosed, out)
+	case DeadlineExceeded:
+		return append(a.settle(OutcomeConnectFailed, StateClosed, out), Action{Kind: CloseConnection})
 	case Cancelled:
-		return append(a.settle(NoConnect, Closed, out), Action{Kind: Cut})
+		return append(a.settle(OutcomeConnectFailed, StateClosed, out), Action{Kind: CloseConnection})
 	}
 	return out
 }
 
 func (a *Attempt) sent(ev Event, out []Action) []Action {
 	switch ev.Kind {
-	case Head:
-		a.state = Answering
-	case Whole:
-		return append(a.settle(judge(ev), Settled, out), Action{Kind: Keep})
-	case Broke:
-		return a.settle(Reset, Closed, out)
-	case Expired, Cancelled:
-		o := TimedOut
+	case ResponseHead:
+		a.state = StateAnswering
+	case ResponseComplete:
+		return append(a.settle(judge(ev), StateSettled, out), Action{Kind: KeepConnection})
+	case ConnectionClosed:
+		return a.settle(OutcomeReset, StateClosed, out)
+	case DeadlineExceeded, Cancelled:
+		o := OutcomeTimedOut
 		if ev.Kind == Cancelled {
-			o = GivenUp
+			o = OutcomeCancelled
 		}
 		if a.Paid {
-			return a.settle(o, Listening, out)
+			return a.settle(o, StateAwaitingLate, out)
 		}
-		return append(a.settle(o, Closed, out), Action{Kind: Cut})
+		return append(a.settle(o, StateClosed, out), Action{Kind: CloseConnection})
 	}
 	return out
 }
@@ -192,39 +192,39 @@
 func judge(ev Event) Outcome {
 	switch {
 	case ev.Status == 201:
-		return Plays
+		return OutcomePlaying
 	case ev.Status == 503 && ev.NeverRan:
-		return Full
+		return OutcomeFull
 	}
-	return BoxError
+	return OutcomeError
 }
 
 func (a *Attempt) listening(ev Event, out []Action) []Action {
 	switch ev.Kind {
-	case Whole:
-		a.state = Closed
-		out = append(out, Action{Kind: Keep})
+	case ResponseComplete:
+		a.state = StateClosed
+		out = append(out, Action{Kind: KeepConnection})
 		switch judge(ev) {
-		case Plays:
-			return append(out, Action{Kind: TellLate})
-		case Full:
-			return append(out, Action{Kind: TellVoid})
+		case OutcomePlaying:
+			return append(out, Action{Kind: ReportLateSuccess})
+		case OutcomeFull:
+			return append(out, Action{Kind: ReportNeverRan})
 		}
-	case Broke:
-		a.state = Closed
-	case LateOver:
-		a.state = Closed
-		return append(out, Action{Kind: Cut})
+	case ConnectionClosed:
+		a.state = StateClosed
+	case LateWindowOver:
+		a.state = StateClosed
+		return append(out, Action{Kind: CloseConnection})
 	}
 	return out
 }
 
 func (a *Attempt) settle(o Outcome, next State, out []Action) []Action {
 	a.outcome, a.state = o, next
-	if o == Plays {
-		a.state = Playing
+	if o == OutcomePlaying {
+		a.state = StatePlaying
 	}
-	return append(out, Action{Kind: Settle, Outcome: o})
+	return append(out, Action{Kind: ReportOutcome, Outcome: o})
 }
 
 func (a *Attempt) String() string { return fmt.Sprintf("%s, %s", a.state, a.outcome) }
--- a/decide/door/door.go
+++ b/decide/connmgr/door.go
@@ -8,16 +8,16 @@
 //	silent   no set-up that could be read has come
 //	resting  it carries no set-up now
 //	busy     set-ups are open on it
-package door
+package connmgr
 
 // Conn is the caller's number of a connection.
-type Conn uint32
+type ConnID uint32
 
 // Config has the bounds.
 type Config struct {
-	Most     int     // connections
-	SilentMs float64 // for which one may stay silent, or a message without its end
-	RestMs   float64 // for which one may rest without a byte
+	MaxConns      int     // connections
+	ReadTimeoutMs float64 // for which one may stay silent, or a message without its end
+	IdleTimeoutMs float64 // for which one may rest without a byte
 }
 
 // EventKind tells which fields of an Event are set.
@@ -25,45 +25,45 @@
 
 // The events.
 const (
-	Came    EventKind = iota // Conn
-	Heard                    // Conn, Part: bytes came; a message waits for its rest
-	Asked                    // Conn: a set-up that could be read
-	Carries                  // Conn, Open, Stands: what it carries from now on
-	Left                     // Conn: it is closed
+	Accepted    EventKind = iota // Conn
+	Received                     // Conn, Part: bytes came; a message waits for its rest
+	RequestRead                  // Conn: a set-up that could be read
+	LoadChanged                  // Conn, Open, Stands: what it carries from now on
+	Closed                       // Conn: it is closed
 	Tick
 )
 
 // Event is one fact.
 type Event struct {
-	Kind         EventKind
-	Conn         Conn
-	Part         bool
-	Open, Stands int
+	Kind                    EventKind
+	Conn                    ConnID
+	Partial                 bool
+	PendingSetups, Sessions int
 }
 
 // Why is the cause of a Shut.
-type Why uint8
+type CloseReason uint8
 
 // The causes.
 const (
-	Crowded Why = iota // the bound is met, and this one earns least
-	Silent
-	Unended // a message without its end
-	Rested
+	LimitReached CloseReason = iota // the bound is met, and this one earns least
+	NoRequest
+	IncompleteMessage // a message without its end
+	IdleTimeout
 )
 
 var whys = [...]string{"crowded", "silent", "unended", "rested"}
 
-func (w Why) String() string { return whys[w] }
+func (w CloseReason) String() string { return whys[w] }
 
 // Action is a connection to close.
 type Action struct {
-	Conn Conn
-	Why  Why
+	Conn   ConnID
+	Reason CloseReason
 }
 
 type conn struct {
-	id           Conn
+	id           ConnID
 	came, heard  float64
 	carried      float64 // when a session last stood on it
 	part         float64 // since when a message waits for its rest; 0: none does
@@ -72,41 +72,41 @@
 }
 
 // Door is the state for all connections.
-type Door struct {
+type Manager struct {
 	cfg   Config
-	conns map[Conn]*conn
+	conns map[ConnID]*conn
 }
 
 // New makes an open door with nobody there.
-func New(cfg Config) *Door { return &Door{cfg: cfg, conns: map[Conn]*conn{}} }
+func New(cfg Config) *Manager { return &Manager{cfg: cfg, conns: map[ConnID]*conn{}} }
 
 // Len is the number of connections.
-func (d *Door) Len() int { return len(d.conns) }
+func (d *Manager) Len() int { return len(d.conns) }
 
 // Step takes one fact and appends what is to be closed. What is closed is forgotten; Left need not follow.
-func (d *Door) Step(now float64, ev Event, out []Action) []Action {
+func (d *Manager) Step(now float64, ev Event, out []Action) []Action {
 	c := d.conns[ev.Conn]
 	switch ev.Kind {
-	case Came:
-		if len(d.conns) >= d.cfg.Most {
+	case Accepted:
+		if len(d.conns) >= d.cfg.MaxConns {
 			worst := d.least()
 			if worst == nil {
-				return append(out, Action{ev.Conn, Crowded}) // all carry set-ups: the newcomer goes
+				return append(out, Action{ev.Conn, LimitReached}) // all carry set-ups: the newcomer goes
 			}
-			out = d.shut(worst, Crowded, out)
+			out = d.shut(worst, LimitReached, out)
 		}
 		d.conns[ev.Conn] = &conn{id: ev.Conn, came: now, heard: now}
 	case Tick:
 		for _, c := range d.conns {
 			switch {
 			case c.open > 0:
-			case !c.asked && now-c.came > d.cfg.SilentMs:
-				out = d.shut(c, Silent, out)
-			case c.part > 0 && now-c.part > d.cfg.SilentMs:
-				out = d.shut(c, Unended, out)
+			case !c.asked && now-c.came > d.cfg.ReadTimeoutMs:
+				out = d.shut(c, NoRequest, out)
+			case c.part > 0 && now-c.part > d.cfg.ReadTimeoutMs:
+				out = d.shut(c, IncompleteMessage, out)
 			case c.stands > 0: // its viewer waits there for the end of what stands, and need not say a word until then
-			case now-max(c.heard, c.carried) > d.cfg.RestMs:
-				out = d.shut(c, Rested, out)
+			case now-max(c.heard, c.carried) > d.cfg.IdleTimeoutMs:
+				out = d.shut(c, IdleTimeout, out)
 			}
 		}
 	}
@@ -114,28 +114,28 @@
 		return out
 	}
 	switch ev.Kind {
-	case Heard:
+	case Received:
 		c.heard = now
-		if !ev.Part {
+		if !ev.Partial {
 			c.part = 0
 		} else if c.part == 0 {
 			c.part = max(now, 0.001)
 		}
-	case Asked:
+	case RequestRead:
 		c.asked = true
-	case Carries:
+	case LoadChanged:
 		if c.stands > 0 {
 			c.carried = now
 		}
-		c.open, c.stands = ev.Open, ev.Stands
+		c.open, c.stands = ev.PendingSetups, ev.Sessions
 		c.stood = c.stood || c.stands > 0
-	case Left:
+	case Closed:
 		delete(d.conns, ev.Conn)
 	}
 	return out
 }
 
-func (d *Door) shut(c *conn, why Why, out []Action) []Action {
+func (d *Manager) shut(c *conn, why CloseReason, out []Action) []Action {
 	delete(d.conns, c.id)
 	return append(out, Action{c.id, why})
 }
@@ -154,7 +154,7 @@
 	return c.id < o.id
 }
 
-func (d *Door) least() (worst *conn) {
+func (d *Manager) least() (worst *conn) {
 	for _, c := range d.conns {
 		if c.open == 0 && (worst == nil || c.before(worst)) {
 			worst = c
@@ -166,7 +166,7 @@
 // Voice is the connection for a word that belongs to none, but for those that skip names: one on which a session has
 // stood, since that is proof of a viewer that keeps to the protocol, else one that has asked, else any; of several that
 // are alike the one last heard.
-func (d *Door) Voice(skip func(Conn) bool) (id Conn, ok bool) {
+func (d *Manager) SelectForMessage(skip func(ConnID) bool) (id ConnID, ok bool) {
 	var best *conn
 	for _, c := range d.conns {
 		if !skip(c.id) && (best == nil || c.betterVoice(best)) {
--- a/decide/once/home.go
+++ b/decide/idempotency/home.go
@@ -1,11 +1,11 @@
-package once
+package idempotency
 
 import "github.com/cespare/xxhash/v2"
 
 // Home is the director that answers for a paid token: rendezvous hashing (highest random weight, Thaler and
 // Ravishankar 1998) over the directors' names, so that all directors agree without a word and a change of
 // the list moves only the tokens of those that came or went. It returns -1 for an empty list.
-func Home(key string, directors []string) int {
+func Owner(key string, directors []string) int {
 	best, most := -1, uint64(0)
 	for i, name := range directors {
 		d := xxhash.New()
--- a/decide/limits/brands.go
+++ b/decide/limits/brands.go
@@ -4,12 +4,12 @@
 
 // brand is one tenant: what it holds in each cell, and how its titles fare.
 type brand struct {
-	Brand
+	Tenant
 	part    float64
-	held    []Room  // by cell
-	wants   rate    // first tries a ms
-	fit     float64 // part of its viewers' full rates at which what it wants would fit into its share
-	asked   float64 // first tries since it was last moved, and those refused for want of rate
+	held    []Capacity // by cell
+	wants   rate       // first tries a ms
+	fit     float64    // part of its viewers' full rates at which what it wants would fit into its share
+	asked   float64    // first tries since it was last moved, and those refused for want of rate
 	missed  float64
 	holding int // sessions
 	titles  map[uint64]*title
--- a/decide/limits/limits.go
+++ b/decide/limits/limits.go
@@ -42,34 +42,34 @@
 )
 
 // Brand is one tenant.
-type Brand struct {
-	Name  string
-	Share float64 // its part of what the boxes carry; parts are scaled to add up to 1
-	Most  float64 // the largest part that it may hold, loans included; 0: no such cap
+type Tenant struct {
+	Name     string
+	Share    float64 // its part of what the boxes carry; parts are scaled to add up to 1
+	MaxShare float64 // the largest part that it may hold, loans included; 0: no such cap
 }
 
 // Class is what the gate is told of a class.
 type Class struct {
-	Value, Scale float64
-	Floor, Top   int
+	Value, RateScale float64
+	MinRung, MaxRung int
 }
 
 // Config is what the gate is told.
 type Config struct {
-	Brands      []Brand // the last one also stands for names that are not listed
-	Classes     []Class
-	RateKB      []float64 // the ladder, kB/s
-	Worth       []float64 // of each rung
-	MinRetryMs  float64   // advice is never shorter
-	MaxRetryMs  float64   // nor longer
-	RememberMs  float64   // how long a refused wish is known as such when it comes again
-	MaxWishes   int       // refused wishes remembered
-	LagMs       float64   // loop lag that counts as full load
-	Queue       float64   // waiting events that count as full load
-	MemoryBytes float64   // memory that counts as full load; 0: not looked at
-	KnownMs     float64   // until what others send to a box is known here: as long room must last
-	Others      float64   // part of what is placed that other directors place: only that is not known at once
-	PassAll     bool      // decide nothing, for comparison
+	Tenants         []Tenant // the last one also stands for names that are not listed
+	Classes         []Class
+	RateKB          []float64 // the ladder, kB/s
+	RungWorth       []float64 // of each rung
+	MinRetryAfterMs float64   // advice is never shorter
+	MaxRetryAfterMs float64   // nor longer
+	RetryMemoryMs   float64   // how long a refused wish is known as such when it comes again
+	MaxRefusals     int       // refused wishes remembered
+	FullLagMs       float64   // loop lag that counts as full load
+	FullQueue       float64   // waiting events that count as full load
+	FullMemoryBytes float64   // memory that counts as full load; 0: not looked at
+	PropagationMs   float64   // until what others send to a box is known here: as long room must last
+	OthersShare     float64   // part of what is placed that other directors place: only that is not known at once
+	AdmitAll        bool      // decide nothing, for comparison
 }
 
 // EventKind tells which fields of an Event are set.
@@ -77,28 +77,28 @@
 
 // The events.
 const (
-	Ask    EventKind = iota // ID, Wish, Brand, Title, Class, Home, Copies, Top: a new wanted session
-	Begin                   // ID, Brand, Class, Home, Copies, Top: session ID is being set up somewhere
-	Placed                  // ID, Wish, Brand, Title, Home: session ID plays in cell Home
-	Over                    // ID: session ID holds nothing any more
-	NoRoom                  // ID, Wish, Brand, Title: the module refused for want of room; answered with advice
-	Rooms                   // Room: the fleet has changed
-	Load                    // LagMs, Queue, MemoryBytes
+	Request          EventKind = iota // ID, Wish, Brand, Title, Class, Home, Copies, Top: a new wanted session
+	SetupStarted                      // ID, Brand, Class, Home, Copies, Top: session ID is being set up somewhere
+	SessionStarted                    // ID, Wish, Brand, Title, Home: session ID plays in cell Home
+	SessionEnded                      // ID: session ID holds nothing any more
+	PlacementRefused                  // ID, Wish, Brand, Title: the module refused for want of room; answered with advice
+	CapacityChanged                   // Room: the fleet has changed
+	LoadMeasured                      // LagMs, Queue, MemoryBytes
 	Tick
 )
 
 // Event is one fact or one request.
 type Event struct {
-	Kind         EventKind
-	ID           uint64
-	Wish         uint64 // what is wanted by whom; the same when a viewer comes again
-	Title        uint64
-	Brand, Class int
-	Home, Copies int // the first cell that holds the title, and how many in a row do
-	Top          int // the viewer's highest rung; of Begin: as the Action said
-	LagMs, Queue float64
-	MemoryBytes  float64
-	Room         []Room // by cell; only read during Step
+	Kind              EventKind
+	ID                uint64
+	RequestKey        uint64 // what is wanted by whom; the same when a viewer comes again
+	Title             uint64
+	Tenant, Class     int
+	FirstCell, Copies int // the first cell that holds the title, and how many in a row do
+	MaxRung           int // the viewer's highest rung; of Begin: as the Action said
+	LagMs, Queue      float64
+	MemoryBytes       float64
+	Capacity          []Capacity // by cell; only read during Step
 }
 
 // Reason tells why a request is not let through.
@@ -106,11 +106,11 @@
 
 // The reasons.
 const (
-	Pass     Reason = iota
-	Overload        // the director itself is over its limits
-	Share           // the brand holds its share, and what others leave is used
-	Title           // the title has more than its part of the brand
-	NoBox           // the module's refusal; only the advice is from here
+	Admitted           Reason = iota
+	DirectorOverloaded        // the director itself is over its limits
+	TenantOverShare           // the brand holds its share, and what others leave is used
+	TitleOverShare            // the title has more than its part of the brand
+	NoCapacity                // the module's refusal; only the advice is from here
 )
 
 var reasonNames = [...]string{"pass", "overload", "share", "title", "room"}
@@ -119,13 +119,13 @@
 
 // Action is one decision.
 type Action struct {
-	ID       uint64
-	Reason   Reason
-	RetryMs  float64 // advice, where it is refused
-	Repeated bool    // the wish was refused before
-	Loan     bool    // it was let through beyond its brand's own part
-	Top      int     // highest rung that the session may have
-	Spare    float64 // share of a box's room that must stay free beside it
+	ID           uint64
+	Reason       Reason
+	RetryAfterMs float64 // advice, where it is refused
+	Retried      bool    // the wish was refused before
+	Borrowed     bool    // it was let through beyond its brand's own part
+	MaxRung      int     // highest rung that the session may have
+	Headroom     float64 // share of a box's room that must stay free beside it
 }
 
 // rate is a count a second that forgets.
@@ -157,7 +157,7 @@
 }
 
 // Gate is the state.
-type Gate struct {
+type Admission struct {
 	cfg      Config
 	rng      *rand.Rand
 	now      float64
@@ -171,8 +171,8 @@
 	tried    float64
 	noRoom   float64 // both of the last second or so: placements tried and refused
 	brands   []*brand
-	rooms    []Room // by cell: this director's part
-	whole    Room
+	rooms    []Capacity // by cell: this director's part
+	whole    Capacity
 	holds    map[uint64]*hold // by session
 	fitted   float64          // when the brands' fits were last moved
 	moving   rate             // kB/s of sessions that begin to play, a ms
@@ -184,26 +184,26 @@
 }
 
 // New makes a gate; seed is its only source of chance.
-func New(cfg Config, seed uint64) *Gate {
-	if len(cfg.Brands) == 0 {
-		cfg.Brands = []Brand{{Name: "all", Share: 1}}
+func New(cfg Config, seed uint64) *Admission {
+	if len(cfg.Tenants) == 0 {
+		cfg.Tenants = []Tenant{{Name: "all", Share: 1}}
 	}
 	if len(cfg.Classes) == 0 {
-		cfg.Classes = []Class{{Value: 1, Scale: 1}}
+		cfg.Classes = []Class{{Value: 1, RateScale: 1}}
 	}
 	if len(cfg.RateKB) == 0 {
-		cfg.RateKB, cfg.Worth = []float64{1}, []float64{1}
+		cfg.RateKB, cfg.RungWorth = []float64{1}, []float64{1}
 	}
-	g := &Gate{cfg: cfg, wants: map[uint64]*want{}, holds: map[uint64]*hold{}, rng: rand.New(rand.NewPCG(seed, 0x6c696d69))}
-	g.SetBrands(cfg.Brands)
-	g.wishes.most = max(cfg.MaxWishes, 1)
+	g := &Admission{cfg: cfg, wants: map[uint64]*want{}, holds: map[uint64]*hold{}, rng: rand.New(rand.NewPCG(seed, 0x6c696d69))}
+	g.SetTenants(cfg.Tenants)
+	g.wishes.most = max(cfg.MaxRefusals, 1)
 	g.ranks, g.steps = ranks(cfg.Classes)
 	return g
 }
 
 // SetBrands changes the shares. What is held stays held; what a brand holds that is no longer listed is the last
 // one's.
-func (g *Gate) SetBrands(list []Brand) {
+func (g *Admission) SetTenants(list []Tenant) {
 	total := 0.0
 	for _, b := range list {
 		total += math.Max(b.Share, 0)
@@ -216,9 +216,9 @@
 	for _, b := range list {
 		n := old[b.Name]
 		if n == nil {
-			n = &brand{titles: map[uint64]*title{}, fit: 1, held: make([]Room, len(g.rooms))}
+			n = &brand{titles: map[uint64]*title{}, fit: 1, held: make([]Capacity, len(g.rooms))}
 		}
-		n.Brand = b
+		n.Tenant = b
 		if total > 0 {
 			n.part = math.Max(b.Share, 0) / total
 		} else {
@@ -226,12 +226,12 @@
 		}
 		g.brands = append(g.brands, n)
 	}
-	g.cfg.Brands = list
+	g.cfg.Tenants = list
 	g.recount()
 }
 
 // BrandNumber finds a brand; names that are not listed are the last one's.
-func (g *Gate) BrandNumber(name string) int {
+func (g *Admission) TenantIndex(name string) int {
 	for i, b := range g.brands {
 		if b.Name == name {
 			return i
@@ -241,10 +241,10 @@
 }
 
 // Scarce tells whether shares count at present.
-func (g *Gate) Scarce() bool { return len(g.hot) > 0 }
+func (g *Admission) Scarce() bool { return len(g.hot) > 0 }
 
 // want finds a title's figures, faded up to now.
-func (g *Gate) want(title uint64) *want {
+func (g *Admission) want(title uint64) *want {
 	r := g.wants[title]
 	if r == nil {
 		r = &want{at: g.now}
@@ -255,46 +255,46 @@
 }
 
 // Severity is the director's own load over its limits: 1 is full.
-func (g *Gate) Severity() float64 { return g.severity }
+func (g *Admission) Load() float64 { return g.severity }
 
 // Remembered is the number of refused wishes that are known.
-func (g *Gate) Remembered() int { return g.wishes.len() }
+func (g *Admission) RememberedRefusals() int { return g.wishes.len() }
 
 // Step takes the events of one moment and appends a decision for each Ask and NoRoom, in their order.
-func (g *Gate) Step(now float64, events []Event, out []Action) []Action {
+func (g *Admission) Step(now float64, events []Event, out []Action) []Action {
 	g.pass(now)
 	for i := range events {
 		ev := &events[i]
 		switch ev.Kind {
-		case Ask:
+		case Request:
 			out = append(out, g.ask(ev))
-		case NoRoom:
+		case PlacementRefused:
 			r := g.want(ev.Title)
 			g.tried++
 			g.noRoom++
 			r.tried++
 			r.noRoom++
 			g.look(r)
-			repeated := g.wishes.known(ev.Wish, g.now, g.cfg.RememberMs)
+			repeated := g.wishes.known(ev.RequestKey, g.now, g.cfg.RetryMemoryMs)
 			if !repeated {
-				g.brand(ev.Brand).unmet(ev.Title, g.now)
+				g.brand(ev.Tenant).unmet(ev.Title, g.now)
 			}
-			out = append(out, g.refuse(ev, NoBox, repeated))
-		case Begin:
+			out = append(out, g.refuse(ev, NoCapacity, repeated))
+		case SetupStarted:
 			g.begin(ev)
-		case Placed:
+		case SessionStarted:
 			g.settle(ev)
 			g.tried++
 			r := g.want(ev.Title)
 			r.tried++
 			r.placed.add(1)
-			g.wishes.forget(ev.Wish)
-		case Over:
+			g.wishes.forget(ev.RequestKey)
+		case SessionEnded:
 			g.drop(ev.ID)
-		case Rooms:
-			g.rooms = append(g.rooms[:0], ev.Room...)
+		case CapacityChanged:
+			g.rooms = append(g.rooms[:0], ev.Capacity...)
 			g.recount()
-		case Load:
+		case LoadMeasured:
 			g.load(ev)
 		}
 	}
@@ -302,7 +302,7 @@
 }
 
 // pass lets time go by: rates fade.
-func (g *Gate) pass(now float64) {
+func (g *Admission) pass(now float64) {
 	if !g.started {
 		g.started, g.now, g.began = true, now, now
 		g.returns.start(now)
@@ -331,12 +331,12 @@
 }
 
 // placing is the measured rate of placements a ms. A young measurement is scaled up by the time that it lacks.
-func (g *Gate) placing() float64 {
+func (g *Admission) placing() float64 {
 	return g.placed / math.Max(1-math.Exp(-(g.now-g.began)/rateTauMs), 0.05)
 }
 
 // look finds a title short of room. With the first one the shares begin to count.
-func (g *Gate) look(r *want) {
+func (g *Admission) look(r *want) {
 	if r.tried < leastTried || r.noRoom/r.tried < scarceFrom {
 		return
 	}
@@ -349,7 +349,7 @@
 }
 
 // rest lets go of titles that have room again, and forgets those that nobody asks for.
-func (g *Gate) rest() {
+func (g *Admission) rest() {
 	g.placed, g.firsts = 0, 0
 	kept := g.hot[:0]
 	for _, r := range g.hot {
@@ -372,35 +372,35 @@
 	}
 }
 
-func (g *Gate) brand(i int) *brand {
+func (g *Admission) brand(i int) *brand {
 	if i < 0 || i >= len(g.brands) {
 		i = len(g.brands) - 1
 	}
 	return g.brands[i]
 }
 
-func (g *Gate) ask(ev *Event) Action {
-	b := g.brand(ev.Brand)
-	repeated := g.wishes.known(ev.Wish, g.now, g.cfg.RememberMs)
+func (g *Admission) ask(ev *Event) Action {
+	b := g.brand(ev.Tenant)
+	repeated := g.wishes.known(ev.RequestKey, g.now, g.cfg.RetryMemoryMs)
 	r := g.want(ev.Title)
 	if !repeated {
 		r.firsts.add(1)
 		b.wants.add(1 / wantsTaus)
 	}
-	if g.cfg.PassAll {
-		return Action{ID: ev.ID, Repeated: repeated, Top: ev.Top}
+	if g.cfg.AdmitAll {
+		return Action{ID: ev.ID, Retried: repeated, MaxRung: ev.MaxRung}
 	}
 	if g.sheds(ev.Class, repeated) {
-		return g.refuse(ev, Overload, repeated)
+		return g.refuse(ev, DirectorOverloaded, repeated)
 	}
 	t := b.title(ev.Title, g.now)
 	short := g.now < r.until
 	if short && b.starves(t, g.now) {
 		r.until = g.now + scarceHold
-		return g.refuse(ev, Title, repeated)
+		return g.refuse(ev, TitleOverShare, repeated)
 	}
-	a := Action{ID: ev.ID, Repeated: repeated, Top: g.top(b, ev)}
-	kb := g.kb(ev.Class, a.Top)
+	a := Action{ID: ev.ID, Retried: repeated, MaxRung: g.top(b, ev)}
+	kb := g.kb(ev.Class, a.MaxRung)
 	s, rates := g.stand(b, ev, kb)
 	if !repeated {
 		b.asked++
@@ -412,28 +412,28 @@
 				b.missed++
 			}
 		}
-		return g.refuse(ev, Share, repeated)
+		return g.refuse(ev, TenantOverShare, repeated)
 	}
 	t.used++
-	if a.Loan = s == lent; a.Loan || repeated {
-		a.Spare = g.spare()
+	if a.Borrowed = s == lent; a.Borrowed || repeated {
+		a.Headroom = g.spare()
 	}
 	return a
 }
 
 // refuse remembers the wish and finds a time for its return.
-func (g *Gate) refuse(ev *Event, why Reason, repeated bool) Action {
-	g.wishes.add(ev.Wish, g.now)
-	a := Action{ID: ev.ID, Reason: why, Repeated: repeated}
-	if g.cfg.MaxRetryMs <= 0 {
+func (g *Admission) refuse(ev *Event, why Reason, repeated bool) Action {
+	g.wishes.add(ev.RequestKey, g.now)
+	a := Action{ID: ev.ID, Reason: why, Retried: repeated}
+	if g.cfg.MaxRetryAfterMs <= 0 {
 		return a
 	}
-	if g.cfg.PassAll {
-		a.RetryMs = g.cfg.MaxRetryMs
+	if g.cfg.AdmitAll {
+		a.RetryAfterMs = g.cfg.MaxRetryAfterMs
 		return a
 	}
 	spare := math.Max(g.placing()-g.firsts, g.placing()*0.1) * slotMs
-	a.RetryMs = g.returns.book(g.now, g.cfg.MinRetryMs, g.cfg.MaxRetryMs, spare, g.rng)
+	a.RetryAfterMs = g.returns.book(g.now, g.cfg.MinRetryAfterMs, g.cfg.MaxRetryAfterMs, spare, g.rng)
 	return a
 }
 
@@ -441,9 +441,9 @@
 
 // load takes the director's own figures. A rise is believed at once, a fall slowly, so that shedding does not
 // flap with the lag that it cures.
-func (g *Gate) load(ev *Event) {
+func (g *Admission) load(ev *Event) {
 	s := 0.0
-	for _, f := range [][2]float64{{ev.LagMs, g.cfg.LagMs}, {ev.Queue, g.cfg.Queue}, {ev.MemoryBytes, g.cfg.MemoryBytes}} {
+	for _, f := range [][2]float64{{ev.LagMs, g.cfg.FullLagMs}, {ev.Queue, g.cfg.FullQueue}, {ev.MemoryBytes, g.cfg.FullMemoryBytes}} {
 		if f[1] > 0 {
 			s = math.Max(s, f[0]/f[1])
 		}
@@ -476,7 +476,7 @@
 
 // sheds tells whether a request is refused for the director's own sake: the cheapest refusal first, that is by
 // worth, and among equal worth repeated tries before first ones.
-func (g *Gate) sheds(class int, repeated bool) bool {
+func (g *Admission) sheds(class int, repeated bool) bool {
 	if g.severity < calmFrom {
 		return false
 	}
@@ -489,7 +489,7 @@
 
 // Weight is what a balancer should be told of this director, 1 to 100: less as its own load nears its limits
 // and while its boxes have no room.
-func (g *Gate) Weight() int {
+func (g *Admission) Weight() int {
 	w := 1 - math.Min(math.Max(g.severity-0.5, 0)/0.5, 1)
 	if g.tried >= 1 {
 		w *= 1 - 0.5*g.noRoom/g.tried
--- a/decide/quality/cause.go
+++ b/decide/quality/cause.go
@@ -14,7 +14,7 @@
 
 // Drop decides which segments to give up at now: those older than maxAgeMs, and then the oldest until the rest is
 // within maxBytes. A bound of 0 is none. The newest segment is never given up for its size alone.
-func Drop(list []Segment, now, maxAgeMs float64, maxBytes int64) (names []string) {
+func SegmentsToDelete(list []Segment, now, maxAgeMs float64, maxBytes int64) (names []string) {
 	list = slices.Clone(list)
 	slices.SortFunc(list, func(a, b Segment) int {
 		return cmp.Or(cmp.Compare(a.FromMs, b.FromMs), cmp.Compare(a.Name, b.Name))
@@ -35,20 +35,20 @@
 }
 
 // Trouble is a finding as the history keeps it: a group and the time for which it held.
-type Trouble struct {
+type FindingInterval struct {
 	Dim, Name string
 	From, To  float64
 }
 
 // Loss is what one group lost in one window.
-type Loss struct {
+type GroupLoss struct {
 	Dim, Name string
 	From, To  float64
 	Lost      float64
 }
 
 // Share is what a cause took.
-type Share struct {
+type CauseLoss struct {
 	Cause string
 	Lost  float64
 }
@@ -59,7 +59,7 @@
 // Causes shares out the worth that was lost: to each trouble what its group lost in the windows in which it held, in
 // the order of widest and never more than the window lost in all; what is left has no cause that was found. whole
 // is the loss of each window in all, by its beginning.
-func Causes(whole map[float64]float64, losses []Loss, troubles []Trouble) []Share {
+func AttributeLoss(whole map[float64]float64, losses []GroupLoss, troubles []FindingInterval) []CauseLoss {
 	left := map[float64]float64{}
 	for at, v := range whole {
 		left[at] = v
@@ -81,14 +81,14 @@
 			}
 		}
 	}
-	var out []Share
+	var out []CauseLoss
 	for c, v := range sum {
-		out = append(out, Share{c, v})
+		out = append(out, CauseLoss{c, v})
 	}
-	slices.SortFunc(out, func(a, b Share) int { return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Cause, b.Cause)) })
+	slices.SortFunc(out, func(a, b CauseLoss) int { return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Cause, b.Cause)) })
 	rest := 0.0
 	for _, v := range left {
 		rest += v
 	}
-	return append(out, Share{"no cause found", rest})
+	return append(out, CauseLoss{"no cause found", rest})
 }
--- a/decide/quality/finding.go
+++ b/decide/quality/finding.go
@@ -9,22 +9,22 @@
 
 // Finding says that a group's sessions fall together, and on what evidence.
 type Finding struct {
-	Key
-	Since, At       float64
-	Over            bool // it has ended
-	Sessions, Short int  // of the group
-	Rest, RestShort int  // of the others
-	Load            float64
-	Score           float64 // gain of log-likelihood over "all are alike"
+	GroupKey
+	Since, At                 float64
+	Ended                     bool // it has ended
+	Sessions, Short           int  // of the group
+	OtherSessions, OtherShort int  // of the others
+	Load                      float64
+	Score                     float64 // gain of log-likelihood over "all are alike"
 }
 
 // String is the evidence in words.
 func (f Finding) String() string {
-	if f.Over {
+	if f.Ended {
 		return fmt.Sprintf("%s %d is over after %.1f s", f.Dim, f.ID, (f.At-f.Since)/1000)
 	}
 	return fmt.Sprintf("%s %d: %d of %d sessions short, elsewhere %d of %d; asked for about %.2f of what it gives", f.Dim, f.ID,
-		f.Short, f.Sessions, f.RestShort, f.Rest, f.Load)
+		f.Short, f.Sessions, f.OtherShort, f.OtherSessions, f.Load)
 }
 
 type tally struct {
@@ -36,8 +36,8 @@
 // spread tells whether a group is short in more than one of its parts. Where all that is short of a title sits
 // on one box, the box is what is known to be short: a title is only blamed where it falls on two racks, a rack
 // where two of its boxes do.
-func (t *tally) spread(d Dim) bool {
-	if d == Box {
+func (t *tally) spread(d Dimension) bool {
+	if d == ByNode {
 		return true
 	}
 	n := 0
@@ -52,9 +52,9 @@
 // look compares groups by what their sessions last saw. The group that explains most of what is short is taken
 // first; its sessions are set aside, and the rest is looked at again. So a rack that is squeezed is not also a
 // dozen bad titles, and a bad box is not a bad rack: the wider group would have to be short as a whole.
-func (q *Quality) look() []Finding {
+func (q *Tracker) look() []Finding {
 	type one struct {
-		keys  [dims]Key
+		keys  [dims]GroupKey
 		short bool
 		share float64
 	}
@@ -70,14 +70,14 @@
 			continue
 		}
 		p := s.spanAt(s.at)
-		if last := &s.spans[len(s.spans)-1]; p == nil || last.Box != p.Box {
+		if last := &s.spans[len(s.spans)-1]; p == nil || last.Node != p.Node {
 			continue // it has moved since: what it saw is of another place
 		}
-		all = append(all, one{s.keys(p.Place), s.short < q.cfg.ShortUnder, s.short})
+		all = append(all, one{s.keys(p.Place), s.short < q.cfg.ShortfallBelow, s.short})
 	}
-	hold := map[Key]Finding{}
+	hold := map[GroupKey]Finding{}
 	for range 4 { // more causes at a time than this are one cause that has no group
-		groups, whole := map[Key]tally{}, tally{}
+		groups, whole := map[GroupKey]tally{}, tally{}
 		for _, o := range all {
 			whole.n++
 			if o.short {
@@ -92,9 +92,9 @@
 					if t.parts == nil {
 						t.parts = map[uint64]int{}
 					}
-					part := o.keys[Rack].ID
-					if k.Dim == Rack {
-						part = o.keys[Box].ID
+					part := o.keys[ByRack].ID
+					if k.Dim == ByRack {
+						part = o.keys[ByNode].ID
 					}
 					t.parts[part]++
 				}
@@ -105,14 +105,14 @@
 		if !ok {
 			break
 		}
-		hold[best.Key] = best
-		all = slices.DeleteFunc(all, func(o one) bool { return o.keys[best.Dim] == best.Key })
+		hold[best.GroupKey] = best
+		all = slices.DeleteFunc(all, func(o one) bool { return o.keys[best.Dim] == best.GroupKey })
 	}
 	return q.changes(hold)
 }
 
 // best is the group with the largest gain that passes the bounds: most of it is short, most of the rest is not.
-func (q *Quality) best(groups map[Key]tally, whole tally) (Finding, bool) {
+func (q *Tracker) best(groups map[GroupKey]tally, whole tally) (Finding, bool) {
 	var best Finding
 	found := false
 	for k, t := range groups {
@@ -121,7 +121,7 @@
 			!t.spread(k.Dim) {
 			continue
 		}
-		f := Finding{Key: k, At: q.now, Sessions: t.n, Short: t.short, Rest: rest.n, RestShort: rest.short,
+		f := Finding{GroupKey: k, At: q.now, Sessions: t.n, Short: t.short, OtherSessions: rest.n, OtherShort: rest.short,
 			Score: gain(t, rest, whole), Load: float64(t.short) / t.share}
 		better := f.Score > best.Score+1e-9
 		if math.Abs(f.Score-best.Score) <= 1e-9 { // the same sessions by two names: the nearest cause, always the same one
@@ -153,7 +153,7 @@
 }
 
 // changes tells findings that began, and those that have been gone for two windows.
-func (q *Quality) changes(hold map[Key]Finding) (out []Finding) {
+func (q *Tracker) changes(hold map[GroupKey]Finding) (out []Finding) {
 	for k, f := range hold {
 		if old := q.found[k]; old != nil {
 			f.Since = old.Since
@@ -163,11 +163,11 @@
 		// One box of a squeezed rack may tell first: a cause is named once it has explained most for a while.
 		h := q.held[k]
 		if h == nil {
-			h = &holding{since: q.now, left: q.cfg.ConfirmMs + q.cfg.LookMs}
+			h = &holding{since: q.now, left: q.cfg.ConfirmMs + q.cfg.DetectIntervalMs}
 			q.held[k] = h
 		}
 		f.Since = h.since
-		if h.left -= q.cfg.LookMs; h.left > 0 {
+		if h.left -= q.cfg.DetectIntervalMs; h.left > 0 {
 			continue
 		}
 		delete(q.held, k)
@@ -178,13 +178,13 @@
 		if _, ok := hold[k]; ok {
 			continue
 		}
-		if h.left += q.cfg.LookMs; h.left > q.cfg.ConfirmMs {
+		if h.left += q.cfg.DetectIntervalMs; h.left > q.cfg.ConfirmMs {
 			delete(q.held, k)
 		}
 	}
 	for k, f := range q.found {
 		if _, ok := hold[k]; !ok && q.now-f.At > 2*q.cfg.WindowMs {
-			f.Over = true
+			f.Ended = true
 			f.At = q.now
 			out = append(out, *f)
 			delete(q.found, k)
@@ -195,7 +195,7 @@
 }
 
 // Findings are those in force, in order.
-func (q *Quality) Findings() []Finding {
+func (q *Tracker) Findings() []Finding {
 	var out []Finding
 	for _, f := range q.found {
 		out = append(out, *f)
--- a/decide/quality/quality.go
+++ b/decide/quality/quality.go
@@ -15,46 +15,46 @@
 )
 
 // Dim is a way to group sessions.
-type Dim uint8
+type Dimension uint8
 
 // The dimensions.
 const (
-	Rack Dim = iota
-	Box
-	Title
-	Class
-	Brand
-	Family // of players
+	ByRack Dimension = iota
+	ByNode
+	ByTitle
+	ByClass
+	ByTenant
+	ByPlayerFamily // of players
 	dims
 )
 
 var dimNames = [...]string{"rack", "box", "title", "class", "brand", "family"}
 
-func (d Dim) String() string { return dimNames[d] }
+func (d Dimension) String() string { return dimNames[d] }
 
 // Config has the times and bounds.
 type Config struct {
-	WindowMs  float64   // length of a window of event time
-	LateMs    float64   // a window stays open for reports so late
-	SkewMs    float64   // the most that a player's clock is taken to be wrong by
-	KeepMs    float64   // how long an ended session's timeline is kept
-	MaxSpans  int       // of a session's timeline; older ones are merged
-	MaxSeen   int       // report numbers remembered for a session
-	MaxGroups int       // groups in a window; reports of further ones count in the whole only
-	MaxBytes  int64     // of all timelines; over it ended ones are forgotten early, then new ones are not kept. 0: no bound
-	RungWorth []float64 // quality of each rung
+	WindowMs           float64   // length of a window of event time
+	AllowedLatenessMs  float64   // a window stays open for reports so late
+	MaxClockSkewMs     float64   // the most that a player's clock is taken to be wrong by
+	SessionRetentionMs float64   // how long an ended session's timeline is kept
+	MaxSpans           int       // of a session's timeline; older ones are merged
+	DedupWindow        int       // report numbers remembered for a session
+	MaxGroups          int       // groups in a window; reports of further ones count in the whole only
+	MaxBytes           int64     // of all timelines; over it ended ones are forgotten early, then new ones are not kept. 0: no bound
+	RungWorth          []float64 // quality of each rung
 	// Weights of the linear model (Yin, Jindal, Sekar, Sinopoli, SIGCOMM 2015, eq. 5), in quality units.
-	SwitchCost, StallCost, StartCost float64 // for a unit of change, a second of stall, a second of start-up
-	ShortUnder                       float64 // a session whose rate got is under this part of the granted is short
-	LookMs                           float64 // groups are compared so often
-	ConfirmMs                        float64 // a cause is named once it has explained most for so long
-	MinSessions                      int     // of a group, for a finding
-	MinScore                         float64 // log-likelihood gain of a finding
+	SwitchCost, StallCost, StartupCost float64 // for a unit of change, a second of stall, a second of start-up
+	ShortfallBelow                     float64 // a session whose rate got is under this part of the granted is short
+	DetectIntervalMs                   float64 // groups are compared so often
+	ConfirmMs                          float64 // a cause is named once it has explained most for so long
+	MinSessions                        int     // of a group, for a finding
+	MinScore                           float64 // log-likelihood gain of a finding
 }
 
 // Key names a group.
-type Key struct {
-	Dim Dim
+type GroupKey struct {
+	Dim Dimension
 	ID  uint64
 }
 
@@ -63,62 +63,62 @@
 
 // The events.
 const (
-	Begun  EventKind = iota // Session, At, Place, Title, Class, Brand, Family, StartMs
-	Moved                   // Session, At, Place: it plays elsewhere from then on
-	Rung                    // Session, At, Place.Rung, Place.KB
-	Ended                   // Session, At
-	Report                  // Session, Seen
-	Adopt                   // as Begun, for a session whose director died: its timeline before At is not known
+	SessionStarted EventKind = iota // Session, At, Place, Title, Class, Brand, Family, StartMs
+	SessionMoved                    // Session, At, Place: it plays elsewhere from then on
+	RungChanged                     // Session, At, Place.Rung, Place.KB
+	SessionEnded                    // Session, At
+	ReportReceived                  // Session, Seen
+	SessionAdopted                  // as Begun, for a session whose director died: its timeline before At is not known
 )
 
 // Place is where a session plays.
 type Place struct {
-	Rack, Box uint64
-	Rung      int
-	KB        float64 // kB/s granted
+	Rack, Node uint64
+	Rung       int
+	RateKB     float64 // kB/s granted
 }
 
 // Seen is one report of a player.
-type Seen struct {
-	At      float64 // on the player's clock; NaN: it told none
-	Arrived float64 // on the director's clock
-	Number  int64   // of the player's own count; -1: none
-	GotKB   float64 // kB/s that arrived; NaN: not told
-	NeedKB  float64 // kB/s of what it asked for; 0: not told, then the granted rate counts
-	StallMs float64 // ms of stall since its last report
-	Starved bool    // it ran empty, for how long is not told
-	Rung    int     // that it played; -1: not told
-	Box     uint64  // the box that handed the report on: it was seen there; 0: it came straight
+type PlayerReport struct {
+	At          float64 // on the player's clock; NaN: it told none
+	ArrivedAt   float64 // on the director's clock
+	Sequence    int64   // of the player's own count; -1: none
+	ReceivedKB  float64 // kB/s that arrived; NaN: not told
+	RequiredKB  float64 // kB/s of what it asked for; 0: not told, then the granted rate counts
+	StallMs     float64 // ms of stall since its last report
+	BufferEmpty bool    // it ran empty, for how long is not told
+	Rung        int     // that it played; -1: not told
+	Node        uint64  // the box that handed the report on: it was seen there; 0: it came straight
 }
 
 // Event is one fact.
 type Event struct {
-	Kind                        EventKind
-	Session                     uint64
-	At                          float64
-	Place                       Place
-	Title, Class, Brand, Family uint64
-	StartMs                     float64 // from the wish to play, where it is known
-	Seen                        Seen
+	Kind                         EventKind
+	Session                      uint64
+	At                           float64
+	Place                        Place
+	Title, Class, Tenant, Family uint64
+	StartupMs                    float64 // from the wish to play, where it is known
+	Report                       PlayerReport
 }
 
 // Verdict tells what became of a report.
-type Verdict uint8
+type ReportStatus uint8
 
 // The verdicts.
 const (
-	Counted Verdict = iota
-	Doubled         // it was counted before
-	Unknown         // of a session never seen, or ended too long ago
-	Before          // of a time before the session's known timeline
-	TooLate         // after the watermark
-	Broken          // of a time that no clock error explains
+	ReportCounted        ReportStatus = iota
+	ReportDuplicate                   // it was counted before
+	ReportUnknownSession              // of a session never seen, or ended too long ago
+	ReportBeforeSession               // of a time before the session's known timeline
+	ReportTooLate                     // after the watermark
+	ReportInvalidTime                 // of a time that no clock error explains
 	verdicts
 )
 
 var verdictNames = [...]string{"counted", "doubled", "unknown", "before", "too_late", "broken"}
 
-func (v Verdict) String() string { return verdictNames[v] }
+func (v ReportStatus) String() string { return verdictNames[v] }
 
 // span is a part of a session's timeline with one place and rung.
 type span struct {
@@ -143,7 +143,7 @@
 }
 
 // Quality is the state.
-type Quality struct {
+type Tracker struct {
 	cfg      Config
 	now      float64
 	sessions map[uint64]*session
@@ -156,26 +156,26 @@
 	late     float64  // the most that a report came too late by
 	swept    float64
 	looked   float64
-	found    map[Key]*Finding
-	held     map[Key]*holding // causes that are not confirmed yet
+	found    map[GroupKey]*Finding
+	held     map[GroupKey]*holding // causes that are not confirmed yet
 }
 
 // New makes an empty state.
-func New(cfg Config) *Quality {
-	return &Quality{cfg: cfg, sessions: map[uint64]*session{}, found: map[Key]*Finding{}, held: map[Key]*holding{}}
+func New(cfg Config) *Tracker {
+	return &Tracker{cfg: cfg, sessions: map[uint64]*session{}, found: map[GroupKey]*Finding{}, held: map[GroupKey]*holding{}}
 }
 
 // Counts tells how many reports had each verdict.
-func (q *Quality) Counts() map[Verdict]uint64 {
-	out := map[Verdict]uint64{}
+func (q *Tracker) Counts() map[ReportStatus]uint64 {
+	out := map[ReportStatus]uint64{}
 	for v, n := range q.counts {
-		out[Verdict(v)] = n
+		out[ReportStatus(v)] = n
 	}
 	return out
 }
 
 // Sessions is the number of timelines kept.
-func (q *Quality) Sessions() int { return len(q.sessions) }
+func (q *Tracker) Sessions() int { return len(q.sessions) }
 
 // What a timeline takes, about: the entry with its place in the table, each span, each mark of a report.
 const (
@@ -185,19 +185,19 @@
 )
 
 // Bytes is what the timelines take, about.
-func (q *Quality) Bytes() int64 { return q.bytes }
+func (q *Tracker) Bytes() int64 { return q.bytes }
 
 // SetMaxBytes changes the bound on timelines. One below what they take forgets ended ones at the next session.
-func (q *Quality) SetMaxBytes(n int64) { q.cfg.MaxBytes = n }
+func (q *Tracker) SetMaxBytes(n int64) { q.cfg.MaxBytes = n }
 
 // Unkept counts the sessions that had no timeline because there was no room.
-func (q *Quality) Unkept() uint64 { return q.unkept }
+func (q *Tracker) Untracked() uint64 { return q.unkept }
 
 func (s *session) bytes() int64 {
 	return sessionBytes + spanBytes*int64(len(s.spans)) + markBytes*int64(len(s.seen))
 }
 
-func (q *Quality) forget(id uint64) {
+func (q *Tracker) forget(id uint64) {
 	if s := q.sessions[id]; s != nil {
 		q.bytes -= s.bytes()
 		delete(q.sessions, id)
@@ -206,7 +206,7 @@
 
 // makeRoom forgets ended sessions, the longest ended first, until one more fits; false where none is left to forget.
 // A flood of ended sessions so never takes the place of those that play, and those that play are never forgotten.
-func (q *Quality) makeRoom() bool {
+func (q *Tracker) makeRoom() bool {
 	const one = sessionBytes + spanBytes
 	if q.cfg.MaxBytes <= 0 {
 		return true
@@ -222,28 +222,28 @@
 }
 
 // Step takes events in the order in which they came and returns findings that began or ended.
-func (q *Quality) Step(now float64, events []Event) []Finding {
+func (q *Tracker) Step(now float64, events []Event) []Finding {
 	q.now = now
 	for i := range events {
 		ev := &events[i]
 		switch ev.Kind {
-		case Report:
+		case ReportReceived:
 			q.counts[q.report(ev)]++
-		case Begun, Adopt:
+		case SessionStarted, SessionAdopted:
 			q.begin(ev)
 		default:
 			q.change(ev)
 		}
 	}
 	q.pass()
-	if now-q.looked < q.cfg.LookMs {
+	if now-q.looked < q.cfg.DetectIntervalMs {
 		return nil
 	}
 	q.looked = now
 	return q.look()
 }
 
-func (q *Quality) begin(ev *Event) {
+func (q *Tracker) begin(ev *Event) {
 	if s := q.sessions[ev.Session]; s != nil { // begun again, or told by two ways: the timeline goes on
 		s.ended = 0
 		q.place(s, ev.At, ev.Place)
@@ -253,30 +253,30 @@
 		q.unkept++
 		return
 	}
-	s := &session{title: ev.Title, class: ev.Class, brand: ev.Brand, family: ev.Family, partly: ev.Kind == Adopt,
+	s := &session{title: ev.Title, class: ev.Class, brand: ev.Tenant, family: ev.Family, partly: ev.Kind == SessionAdopted,
 		spans: []span{{ev.At, ev.Place}}, rung: -1, last: ev.At}
 	q.sessions[ev.Session] = s
 	q.bytes += s.bytes()
-	if ev.StartMs > 0 && ev.Kind == Begun {
+	if ev.StartupMs > 0 && ev.Kind == SessionStarted {
 		if w := q.window(ev.At); w != nil {
-			w.start(q, s, &s.spans[0], ev.StartMs)
+			w.start(q, s, &s.spans[0], ev.StartupMs)
 		}
 	}
 }
 
-func (q *Quality) change(ev *Event) {
+func (q *Tracker) change(ev *Event) {
 	s := q.sessions[ev.Session]
 	if s == nil {
 		return
 	}
 	switch ev.Kind {
-	case Moved:
+	case SessionMoved:
 		q.place(s, ev.At, ev.Place)
-	case Rung:
+	case RungChanged:
 		p := s.spans[len(s.spans)-1].Place
-		p.Rung, p.KB = ev.Place.Rung, ev.Place.KB
+		p.Rung, p.RateKB = ev.Place.Rung, ev.Place.RateKB
 		q.place(s, ev.At, p)
-	case Ended:
+	case SessionEnded:
 		if s.ended == 0 {
 			q.over = append(q.over, ev.Session)
 		}
@@ -285,7 +285,7 @@
 }
 
 // place adds a span. Changes can be told out of order: the timeline is kept by time.
-func (q *Quality) place(s *session, at float64, p Place) {
+func (q *Tracker) place(s *session, at float64, p Place) {
 	i, same := slices.BinarySearchFunc(s.spans, at, func(x span, t float64) int { return cmp.Compare(x.from, t) })
 	if same {
 		s.spans[i].Place = p
@@ -316,7 +316,7 @@
 func (s *session) nearest(at float64, box uint64) *span {
 	best, least := (*span)(nil), math.Inf(1)
 	for i := range s.spans {
-		if s.spans[i].Box != box {
+		if s.spans[i].Node != box {
 			continue
 		}
 		to := math.Inf(1)
@@ -331,34 +331,34 @@
 }
 
 // report places one report by its own time.
-func (q *Quality) report(ev *Event) Verdict {
-	s, r := q.sessions[ev.Session], &ev.Seen
+func (q *Tracker) report(ev *Event) ReportStatus {
+	s, r := q.sessions[ev.Session], &ev.Report
 	if s == nil {
-		return Unknown
+		return ReportUnknownSession
 	}
 	at, ok := q.clock(s, r)
 	if !ok {
-		return Broken
+		return ReportInvalidTime
 	}
 	if q.doubled(s, r) {
-		return Doubled
+		return ReportDuplicate
 	}
 	if s.ended > 0 {
 		at = math.Min(at, s.ended) // what it saw last was seen while it played
 	}
 	if at < q.watermark()-q.cfg.WindowMs {
 		q.late = math.Max(q.late, q.watermark()-at)
-		return TooLate
+		return ReportTooLate
 	}
 	p := s.spanAt(at)
-	if r.Box != 0 && (p == nil || p.Box != r.Box) { // near a move the box knows better than a clock
-		if near := s.nearest(at, r.Box); near != nil {
+	if r.Node != 0 && (p == nil || p.Node != r.Node) { // near a move the box knows better than a clock
+		if near := s.nearest(at, r.Node); near != nil {
 			p = near
 		}
 	}
 	if p == nil {
 		if s.partly || at < s.spans[0].from-q.cfg.WindowMs {
-			return Before
+			return ReportBeforeSession
 		}
 		p = &s.spans[0] // a clock a little behind, at the very start
 		at = p.from
@@ -366,51 +366,51 @@
 	w := q.window(at)
 	if w == nil {
 		q.late = math.Max(q.late, q.watermark()-at)
-		return TooLate
+		return ReportTooLate
 	}
 	q.remember(s, r)
 	w.report(q, s, p, r, at)
-	return Counted
+	return ReportCounted
 }
 
 // clock turns the player's time into the director's. The smallest difference between arrival and the player's
 // time that was ever seen is the skew and the fastest way together; a report can't have been seen after it
 // arrived.
-func (q *Quality) clock(s *session, r *Seen) (float64, bool) {
+func (q *Tracker) clock(s *session, r *PlayerReport) (float64, bool) {
 	if math.IsNaN(r.At) || math.IsInf(r.At, 0) {
-		return r.Arrived, true
+		return r.ArrivedAt, true
 	}
-	d := r.Arrived - r.At
+	d := r.ArrivedAt - r.At
 	if !s.clocked || d < s.skew {
 		s.skew, s.clocked = d, true
 	}
 	// A clock that is more wrong than allowed is not a clock: what it says of the order of reports is kept, but
 	// a player that jumps is told apart by the bound.
-	if math.Abs(s.skew) > q.cfg.SkewMs && q.cfg.SkewMs > 0 {
-		return r.Arrived, true
+	if math.Abs(s.skew) > q.cfg.MaxClockSkewMs && q.cfg.MaxClockSkewMs > 0 {
+		return r.ArrivedAt, true
 	}
-	at := math.Min(r.At+s.skew, r.Arrived)
-	return at, at > r.Arrived-10*q.cfg.LateMs-q.cfg.SkewMs
+	at := math.Min(r.At+s.skew, r.ArrivedAt)
+	return at, at > r.ArrivedAt-10*q.cfg.AllowedLatenessMs-q.cfg.MaxClockSkewMs
 }
 
 // mark is what a report is known by: its number, else its time and content.
-func (r *Seen) mark() uint64 {
-	if r.Number >= 0 {
-		return uint64(r.Number)<<1 | 1
+func (r *PlayerReport) mark() uint64 {
+	if r.Sequence >= 0 {
+		return uint64(r.Sequence)<<1 | 1
 	}
-	h := math.Float64bits(r.At)*0x9e3779b97f4a7c15 ^ math.Float64bits(r.GotKB)*0xbf58476d1ce4e5b9 ^ math.Float64bits(r.StallMs)
+	h := math.Float64bits(r.At)*0x9e3779b97f4a7c15 ^ math.Float64bits(r.ReceivedKB)*0xbf58476d1ce4e5b9 ^ math.Float64bits(r.StallMs)
 	return h << 1
 }
 
-func (q *Quality) doubled(s *session, r *Seen) bool {
-	if r.Number < 0 && math.IsNaN(r.At) {
+func (q *Tracker) doubled(s *session, r *PlayerReport) bool {
+	if r.Sequence < 0 && math.IsNaN(r.At) {
 		return false // nothing tells two of them apart
 	}
 	return slices.Contains(s.seen, r.mark())
 }
 
-func (q *Quality) remember(s *session, r *Seen) {
-	if len(s.seen) < max(q.cfg.MaxSeen, 1) {
+func (q *Tracker) remember(s *session, r *PlayerReport) {
+	if len(s.seen) < max(q.cfg.DedupWindow, 1) {
 		s.seen = append(s.seen, r.mark())
 		q.bytes += markBytes
 		return
@@ -420,10 +420,10 @@
 }
 
 // watermark is the time before which windows are closed.
-func (q *Quality) watermark() float64 { return q.now - q.cfg.LateMs }
+func (q *Tracker) watermark() float64 { return q.now - q.cfg.AllowedLatenessMs }
 
 // pass closes windows behind the watermark and forgets sessions that ended long ago.
-func (q *Quality) pass() {
+func (q *Tracker) pass() {
 	n := 0
 	for n < len(q.open) && q.open[n].From+q.cfg.WindowMs <= q.watermark() {
 		q.closed = append(q.closed, q.open[n])
@@ -435,7 +435,7 @@
 	}
 	q.swept = q.now
 	for id, s := range q.sessions {
-		if s.ended > 0 && q.now-s.ended > q.cfg.KeepMs {
+		if s.ended > 0 && q.now-s.ended > q.cfg.SessionRetentionMs {
 			q.forget(id)
 		}
 	}
@@ -446,14 +446,14 @@
 }
 
 // Closed takes the windows that were closed since the last call, oldest first.
-func (q *Quality) Closed() []*Window {
+func (q *Tracker) TakeClosed() []*Window {
 	out := q.closed
 	q.closed = nil
 	return out
 }
 
 // window finds the open window of a time, or makes it; nil behind the watermark.
-func (q *Quality) window(at float64) *Window {
+func (q *Tracker) window(at float64) *Window {
 	if at < 0 {
 		return nil
 	}
@@ -469,18 +469,18 @@
 }
 
 // DimOf finds a dimension by its name.
-func DimOf(name string) (Dim, bool) {
+func ParseDimension(name string) (Dimension, bool) {
 	for d, n := range dimNames {
 		if n == name {
-			return Dim(d), true
+			return Dimension(d), true
 		}
 	}
 	return 0, false
 }
 
 // Recent adds up the windows that are open, and those of closed that begin at from or later, by group of a dimension.
-func (q *Quality) Recent(d Dim, from float64, closed []*Window) map[Key]*Group {
-	out := map[Key]*Group{}
+func (q *Tracker) Recent(d Dimension, from float64, closed []*Window) map[GroupKey]*Group {
+	out := map[GroupKey]*Group{}
 	for _, list := range [][]*Window{closed, q.open} {
 		for _, w := range list {
 			if w.From < from {
@@ -498,7 +498,7 @@
 }
 
 // LateBy is the most that a report came too late by, ms.
-func (q *Quality) LateBy() float64 { return q.late }
+func (q *Tracker) LateBy() float64 { return q.late }
 
 // Span is a part of a session's timeline.
 type Span struct {
@@ -508,7 +508,7 @@
 
 // Timeline tells where a session played; partly where its beginning is not known. ok is false for one that is
 // not kept.
-func (q *Quality) Timeline(id uint64) (spans []Span, partly bool, skew float64, ok bool) {
+func (q *Tracker) Timeline(id uint64) (spans []Span, partly bool, skew float64, ok bool) {
 	s := q.sessions[id]
 	if s == nil {
 		return nil, false, 0, false
--- a/decide/quality/window.go
+++ b/decide/quality/window.go
@@ -28,13 +28,13 @@
 
 // Window is a span of event time.
 type Window struct {
-	From   float64
-	Whole  Group
-	Groups map[Key]*Group
-	Missed int64 // reports of groups beyond the bound: in Whole only
+	From             float64
+	Total            Group
+	Groups           map[GroupKey]*Group
+	UngroupedReports int64 // reports of groups beyond the bound: in Whole only
 }
 
-func newWindow(from float64) *Window { return &Window{From: from, Groups: map[Key]*Group{}} }
+func newWindow(from float64) *Window { return &Window{From: from, Groups: map[GroupKey]*Group{}} }
 
 func add(s **ddsketch.DDSketch, v float64) {
 	if *s == nil {
@@ -90,8 +90,8 @@
 
 // Merge adds another director's window of the same time.
 func (w *Window) Merge(o *Window) {
-	w.Whole.Merge(&o.Whole)
-	w.Missed += o.Missed
+	w.Total.Merge(&o.Total)
+	w.UngroupedReports += o.UngroupedReports
 	for k, g := range o.Groups {
 		if w.Groups[k] == nil {
 			w.Groups[k] = &Group{}
@@ -101,30 +101,30 @@
 }
 
 // Keys lists a dimension's groups in order.
-func (w *Window) Keys(d Dim) []Key {
-	var out []Key
+func (w *Window) Keys(d Dimension) []GroupKey {
+	var out []GroupKey
 	for k := range w.Groups {
 		if k.Dim == d {
 			out = append(out, k)
 		}
 	}
-	slices.SortFunc(out, func(a, b Key) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b GroupKey) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
 // keys are the groups of a session at a place.
-func (s *session) keys(p Place) [dims]Key {
-	return [dims]Key{{Rack, p.Rack}, {Box, p.Box}, {Title, s.title}, {Class, s.class}, {Brand, s.brand}, {Family, s.family}}
+func (s *session) keys(p Place) [dims]GroupKey {
+	return [dims]GroupKey{{ByRack, p.Rack}, {ByNode, p.Node}, {ByTitle, s.title}, {ByClass, s.class}, {ByTenant, s.brand}, {ByPlayerFamily, s.family}}
 }
 
 // each calls f for the whole and for each group of a session.
-func (w *Window) each(q *Quality, s *session, p *span, f func(*Group)) {
-	f(&w.Whole)
+func (w *Window) each(q *Tracker, s *session, p *span, f func(*Group)) {
+	f(&w.Total)
 	for _, k := range s.keys(p.Place) {
 		g := w.Groups[k]
 		if g == nil {
 			if q.cfg.MaxGroups > 0 && len(w.Groups) >= q.cfg.MaxGroups {
-				w.Missed++
+				w.UngroupedReports++
 				continue
 			}
 			g = &Group{}
@@ -134,17 +134,17 @@
 	}
 }
 
-func (w *Window) start(q *Quality, s *session, p *span, ms float64) {
+func (w *Window) start(q *Tracker, s *session, p *span, ms float64) {
 	w.each(q, s, p, func(g *Group) {
 		g.Starts++
 		add(&g.startUp, ms)
-		g.Lost += q.cfg.StartCost * ms / 1000
+		g.Lost += q.cfg.StartupCost * ms / 1000
 	})
 }
 
 // report counts one report where the session was. Its quality is the linear model's: the rung's, less what
 // changes of rung, stalls and a rate under the granted one cost.
-func (w *Window) report(q *Quality, s *session, p *span, r *Seen, at float64) {
+func (w *Window) report(q *Tracker, s *session, p *span, r *PlayerReport, at float64) {
 	rung := p.Rung
 	if r.Rung >= 0 {
 		rung = r.Rung
@@ -157,16 +157,16 @@
 	}
 	score -= q.cfg.StallCost * r.StallMs / 1000
 	share := math.NaN()
-	if need := needed(s, p, r); r.GotKB >= 0 && need > 0 {
-		share = r.GotKB / need
+	if need := needed(s, p, r); r.ReceivedKB >= 0 && need > 0 {
+		share = r.ReceivedKB / need
 	}
 	if at >= s.last { // an older report says nothing of now
-		s.last, s.rung, s.need = at, rung, r.NeedKB
-		stalled := r.StallMs > 0 || r.Starved
+		s.last, s.rung, s.need = at, rung, r.RequiredKB
+		stalled := r.StallMs > 0 || r.BufferEmpty
 		if !math.IsNaN(share) || stalled {
 			s.short, s.at = share, at
-			if stalled && !(share < q.cfg.ShortUnder) { // it stalled whatever rate it measured
-				s.short = q.cfg.ShortUnder * 0.99
+			if stalled && !(share < q.cfg.ShortfallBelow) { // it stalled whatever rate it measured
+				s.short = q.cfg.ShortfallBelow * 0.99
 			}
 		}
 	}
@@ -176,7 +176,7 @@
 		g.Score += score
 		g.Lost += lost
 		g.StallMs += r.StallMs
-		if r.StallMs > 0 || r.Starved {
+		if r.StallMs > 0 || r.BufferEmpty {
 			g.Stalled++
 		}
 		if switched {
@@ -191,9 +191,9 @@
 // needed is the rate that a session must get not to be short: what was granted, or less where the player asked
 // for less. What it measured is of the object before, so after a rise the smaller of the two requests counts:
 // else every raised rung would look like a squeeze.
-func needed(s *session, p *span, r *Seen) float64 {
-	need := p.KB
-	for _, kb := range []float64{r.NeedKB, s.need} {
+func needed(s *session, p *span, r *PlayerReport) float64 {
+	need := p.RateKB
+	for _, kb := range []float64{r.RequiredKB, s.need} {
 		if kb > 0 {
 			need = math.Min(need, kb)
 		}
@@ -201,7 +201,7 @@
 	return need
 }
 
-func (q *Quality) worth(rung int) float64 {
+func (q *Tracker) worth(rung int) float64 {
 	if len(q.cfg.RungWorth) == 0 {
 		return 0
 	}
--- a/decide/release/release.go
+++ b/decide/release/release.go
@@ -15,17 +15,17 @@
 import (
 	"slices"
 
-	"headmill/decide/door"
+	"headmill/decide/connmgr"
 )
 
 // Session is the caller's number.
-type Session uint64
+type SessionID uint64
 
 // Config has the bounds; times in ms.
 type Config struct {
-	KeepMs  float64 // for which a release is kept that no viewer has confirmed
-	AgainMs float64 // after which one that is not confirmed is written on another connection too
-	Most    int     // releases kept; over it the oldest is let go of
+	RetentionMs  float64 // for which a release is kept that no viewer has confirmed
+	RetransmitMs float64 // after which one that is not confirmed is written on another connection too
+	MaxPending   int     // releases kept; over it the oldest is let go of
 }
 
 // sends is on how many connections that stay open a release is written: viewers that confirm nothing must not turn each
@@ -37,78 +37,80 @@
 
 // The events.
 const (
-	Over  EventKind = iota // Session, Cause, Conn: it has ended; Conn is that of its set-up, 0 where it is closed
-	Heard                  // Session: its viewer knows
-	Left                   // Conn: it is closed
+	SessionEnded     EventKind = iota // Session, Cause, Conn: it has ended; Conn is that of its set-up, 0 where it is closed
+	Confirmed                         // Session: its viewer knows
+	ConnectionClosed                  // Conn: it is closed
 	Tick
 )
 
 // Event is one fact.
 type Event struct {
 	Kind    EventKind
-	Session Session
+	Session SessionID
 	Cause   int
-	Conn    door.Conn
+	Conn    connmgr.ConnID
 }
 
 // Send is one release to write.
-type Send struct {
-	Session Session
+type Transmission struct {
+	Session SessionID
 	Cause   int
-	Conn    door.Conn
+	Conn    connmgr.ConnID
 }
 
 // Voices finds the best connection for a word that belongs to none; skip tells which are not wanted.
-type Voices interface {
-	Voice(skip func(door.Conn) bool) (door.Conn, bool)
+type ConnectionSelector interface {
+	SelectForMessage(skip func(connmgr.ConnID) bool) (connmgr.ConnID, bool)
 }
 
 type pending struct {
-	Send       // Conn is 0 while it is due
-	over, sent float64
-	tried      []door.Conn // that are open still, as far as told
+	Transmission // Conn is 0 while it is due
+	over, sent   float64
+	tried        []connmgr.ConnID // that are open still, as far as told
 }
 
 // Pending is the state for all sessions that are over and whose viewers have not confirmed it.
-type Pending struct {
+type Retransmitter struct {
 	cfg   Config
 	list  []*pending // the oldest first
-	voice Voices
+	voice ConnectionSelector
 }
 
 // New makes an empty state that finds its connections by voices.
-func New(cfg Config, voices Voices) *Pending { return &Pending{cfg: cfg, voice: voices} }
+func New(cfg Config, voices ConnectionSelector) *Retransmitter {
+	return &Retransmitter{cfg: cfg, voice: voices}
+}
 
 // Len is the number of releases that no viewer has confirmed.
-func (p *Pending) Len() int { return len(p.list) }
+func (p *Retransmitter) Len() int { return len(p.list) }
 
 // Step takes one fact and appends what is to be written.
-func (p *Pending) Step(now float64, ev Event, out []Send) []Send {
+func (p *Retransmitter) Step(now float64, ev Event, out []Transmission) []Transmission {
 	switch ev.Kind {
-	case Over:
-		if len(p.list) >= p.cfg.Most {
+	case SessionEnded:
+		if len(p.list) >= p.cfg.MaxPending {
 			p.list = slices.Delete(p.list, 0, 1)
 		}
-		r := &pending{Send: Send{Session: ev.Session, Cause: ev.Cause}, over: now}
+		r := &pending{Transmission: Transmission{Session: ev.Session, Cause: ev.Cause}, over: now}
 		p.list = append(p.list, r)
 		if ev.Conn != 0 {
 			return r.send(now, ev.Conn, out)
 		}
 		return p.try(r, now, out)
-	case Heard:
+	case Confirmed:
 		p.list = slices.DeleteFunc(p.list, func(r *pending) bool { return r.Session == ev.Session })
-	case Left:
+	case ConnectionClosed:
 		for _, r := range p.list {
-			r.tried = slices.DeleteFunc(r.tried, func(c door.Conn) bool { return c == ev.Conn })
+			r.tried = slices.DeleteFunc(r.tried, func(c connmgr.ConnID) bool { return c == ev.Conn })
 			if r.Conn == ev.Conn { // nobody may have read it
 				r.Conn = 0
 				out = p.try(r, now, out)
 			}
 		}
 	case Tick:
-		p.list = slices.DeleteFunc(p.list, func(r *pending) bool { return now-r.over >= p.cfg.KeepMs })
+		p.list = slices.DeleteFunc(p.list, func(r *pending) bool { return now-r.over >= p.cfg.RetentionMs })
 		for _, r := range p.list {
-			if r.Conn == 0 || now-r.sent >= p.cfg.AgainMs && len(r.tried) < sends {
+			if r.Conn == 0 || now-r.sent >= p.cfg.RetransmitMs && len(r.tried) < sends {
 				out = p.try(r, now, out)
 			}
 		}
@@ -117,16 +119,16 @@
 }
 
 // try writes a release on the best connection that has not had it; where there is none it stays as it is.
-func (p *Pending) try(r *pending, now float64, out []Send) []Send {
-	c, ok := p.voice.Voice(func(c door.Conn) bool { return slices.Contains(r.tried, c) })
+func (p *Retransmitter) try(r *pending, now float64, out []Transmission) []Transmission {
+	c, ok := p.voice.SelectForMessage(func(c connmgr.ConnID) bool { return slices.Contains(r.tried, c) })
 	if !ok {
 		return out
 	}
 	return r.send(now, c, out)
 }
 
-func (r *pending) send(now float64, c door.Conn, out []Send) []Send {
+func (r *pending) send(now float64, c connmgr.ConnID, out []Transmission) []Transmission {
 	r.Conn, r.sent = c, now
 	r.tried = append(r.tried, c)
-	return append(out, r.Send)
+	return append(out, r.Transmission)
 }
