--- a/internal/bench/sockets.go
+++ b/internal/bench/sockets.go
@@ -106,7 +106,7 @@
 }
 
 // Overload makes a box tell every director that its link is asked for so many times what it gives.
-func (b *Box) Overload(load float64) {
+func (b *Node) Overload(load float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, c := range b.streams {
@@ -115,7 +115,7 @@
 }
 
 // Hold makes sessions last until they are ended by the director.
-func (b *Box) Hold() {
+func (b *Node) Hold() {
 	b.mu.Lock()
 	b.hold = true
 	b.mu.Unlock()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,22 +21,22 @@
 
 // Settings is the whole file. Times are ms, rates kB a second, sizes bytes.
 type Settings struct {
-	Director Director `toml:"director"`
-	List     List     `toml:"list"`
-	Tokens   Tokens   `toml:"tokens"`
-	Limits   Limits   `toml:"limits"`
-	Times    Times    `toml:"times"`
-	Ladder   Ladder   `toml:"ladder"`
-	Fleet    Fleet    `toml:"fleet"`
-	Attempts Attempts `toml:"attempts"`
-	Gate     Gate     `toml:"gate"`
-	Quality  Quality  `toml:"quality"`
-	History  History  `toml:"history"`
-	Trace    Trace    `toml:"trace"`
-	Brands   []Brand  `toml:"brand"`
-	Classes  []Class  `toml:"class"`
-	Titles   []Title  `toml:"title"`
-	Log      Log      `toml:"log"`
+	Director  Director  `toml:"director"`
+	List      List      `toml:"list"`
+	Tokens    Tokens    `toml:"tokens"`
+	Limits    Limits    `toml:"limits"`
+	Times     Times     `toml:"times"`
+	Ladder    Ladder    `toml:"ladder"`
+	Fleet     Fleet     `toml:"fleet"`
+	Attempts  Attempts  `toml:"attempts"`
+	Admission Admission `toml:"gate"`
+	Quality   Quality   `toml:"quality"`
+	History   History   `toml:"history"`
+	Trace     Trace     `toml:"trace"`
+	Tenants   []Tenant  `toml:"brand"`
+	Classes   []Class   `toml:"class"`
+	Titles    []Title   `toml:"title"`
+	Log       Log       `toml:"log"`
 }
 
 // Director names this director among the others.
@@ -54,7 +54,7 @@
 }
 
 // Gate sets what may come in before the module is asked: see docs/operate/limits.md.
-type Gate struct {
+type Admission struct {
 	PassAll     bool    `toml:"pass_all"`
 	MinRetryMs  float64 `toml:"min_retry_ms"`
 	RememberMs  float64 `toml:"remember_ms"`
@@ -97,10 +97,10 @@
 }
 
 // Brand is one tenant's part.
-type Brand struct {
-	Name  string  `toml:"name"`
-	Share float64 `toml:"share"`
-	Most  float64 `toml:"most"`
+type Tenant struct {
+	Name     string  `toml:"name"`
+	Share    float64 `toml:"share"`
+	MaxShare float64 `toml:"most"`
 }
 
 // List names the list service.
@@ -124,107 +124,107 @@
 
 // Limits bounds what is kept.
 type Limits struct {
-	Connections   int `toml:"connections"`
-	Line          int `toml:"line"`
-	Head          int `toml:"head"`
-	Fields        int `toml:"fields"`
-	Body          int `toml:"body"`
-	Output        int `toml:"output"`  // bytes that may wait for a viewer
-	Entries       int `toml:"entries"` // of the once-ledger
-	Waiters       int `toml:"waiters"` // requests that wait for one session
-	Boxes         int `toml:"boxes"`
-	PoolPerBox    int `toml:"pool_per_box"`   // kept connections to a box
-	EventBytes    int `toml:"event_bytes"`    // one event of the list or of a box
-	ConnsPerBox   int `toml:"conns_per_box"`  // connections to a box in all
-	SessionsInAll int `toml:"sessions"`       // sessions of this director
-	CommandsABox  int `toml:"commands_a_box"` // rung changes and ends that wait for one box
-	OutputInAll   int `toml:"output_in_all"`  // bytes that may wait for all viewers together
-	Reports       int `toml:"reports"`        // bytes of players' reports that are kept
-	Timelines     int `toml:"timelines"`      // bytes of the timelines that quality is worked out from
-	Message       int `toml:"message"`        // of a WebSocket message
-	SocketOpens   int `toml:"socket_opens"`   // requests that may be out on one WebSocket connection
-	SocketHolds   int `toml:"socket_holds"`   // sessions held by one WebSocket connection
-	Sockets       int `toml:"sockets"`        // sessions held by all of them
+	Connections       int `toml:"connections"`
+	Line              int `toml:"line"`
+	Head              int `toml:"head"`
+	Fields            int `toml:"fields"`
+	Body              int `toml:"body"`
+	Output            int `toml:"output"`  // bytes that may wait for a viewer
+	Entries           int `toml:"entries"` // of the once-ledger
+	Waiters           int `toml:"waiters"` // requests that wait for one session
+	Nodes             int `toml:"boxes"`
+	IdleConnsPerNode  int `toml:"pool_per_box"`   // kept connections to a box
+	EventBytes        int `toml:"event_bytes"`    // one event of the list or of a box
+	ConnsPerNode      int `toml:"conns_per_box"`  // connections to a box in all
+	Sessions          int `toml:"sessions"`       // sessions of this director
+	CommandsPerNode   int `toml:"commands_a_box"` // rung changes and ends that wait for one box
+	TotalOutput       int `toml:"output_in_all"`  // bytes that may wait for all viewers together
+	Reports           int `toml:"reports"`        // bytes of players' reports that are kept
+	Timelines         int `toml:"timelines"`      // bytes of the timelines that quality is worked out from
+	Message           int `toml:"message"`        // of a WebSocket message
+	PendingPerSocket  int `toml:"socket_opens"`   // requests that may be out on one WebSocket connection
+	SessionsPerSocket int `toml:"socket_holds"`   // sessions held by one WebSocket connection
+	SocketSessions    int `toml:"sockets"`        // sessions held by all of them
 }
 
 // Times has the time limits of connections and boxes.
 type Times struct {
-	HeadMs      float64 `toml:"head_ms"`
-	IdleMs      float64 `toml:"idle_ms"`
-	WriteMs     float64 `toml:"write_ms"`
-	ConnectMs   float64 `toml:"connect_ms"`
-	BoxIdleMs   float64 `toml:"box_idle_ms"`
-	LateMs      float64 `toml:"late_ms"` // how long a late word of a box on a paid set-up is listened for
-	HoldMs      float64 `toml:"hold_ms"` // how long a session that no viewer took is kept
-	BoxSilentMs float64 `toml:"box_silent_ms"`
-	BoxLostMs   float64 `toml:"box_lost_ms"`
-	FinishMs    float64 `toml:"finish_ms"`
-	PlayMs      float64 `toml:"play_ms"`
-	EndMs       float64 `toml:"end_ms"`
-	CommandMs   float64 `toml:"command_ms"`
-	PingMs      float64 `toml:"ping_ms"`   // a WebSocket connection that is silent so long is pinged
-	PongMs      float64 `toml:"pong_ms"`   // and cut if nothing comes for so long after that
-	TieMs       float64 `toml:"tie_ms"`    // how long a session outlives the WebSocket connection that held it
-	ReportMs    float64 `toml:"report_ms"` // agreed time between a player's reports on one session
-	NoticeMs    float64 `toml:"notice_ms"` // at a stop: new sessions are refused so long before the door is closed
-	MarginMs    float64 `toml:"margin_ms"` // an answer is given so long before the viewer gives up
+	HeadMs              float64 `toml:"head_ms"`
+	IdleMs              float64 `toml:"idle_ms"`
+	WriteMs             float64 `toml:"write_ms"`
+	ConnectMs           float64 `toml:"connect_ms"`
+	NodeIdleMs          float64 `toml:"box_idle_ms"`
+	LateAnswerMs        float64 `toml:"late_ms"` // how long a late word of a box on a paid set-up is listened for
+	UnclaimedTTLMs      float64 `toml:"hold_ms"` // how long a session that no viewer took is kept
+	NodeStreamTimeoutMs float64 `toml:"box_silent_ms"`
+	NodeTimeoutMs       float64 `toml:"box_lost_ms"`
+	SetupDrainMs        float64 `toml:"finish_ms"`
+	SessionDrainMs      float64 `toml:"play_ms"`
+	EndConfirmMs        float64 `toml:"end_ms"`
+	CommandMs           float64 `toml:"command_ms"`
+	PingMs              float64 `toml:"ping_ms"`   // a WebSocket connection that is silent so long is pinged
+	PongMs              float64 `toml:"pong_ms"`   // and cut if nothing comes for so long after that
+	DetachedTTLMs       float64 `toml:"tie_ms"`    // how long a session outlives the WebSocket connection that held it
+	ReportMs            float64 `toml:"report_ms"` // agreed time between a player's reports on one session
+	NoticeMs            float64 `toml:"notice_ms"` // at a stop: new sessions are refused so long before the door is closed
+	AnswerMarginMs      float64 `toml:"margin_ms"` // an answer is given so long before the viewer gives up
 }
 
 // Ladder is the ladder of rates.
 type Ladder struct {
-	RateKB    []float64 `toml:"rate_kb"`
-	Worth     []float64 `toml:"worth"`
-	Width     []int     `toml:"width"`
-	SegmentMs float64   `toml:"segment_ms"`
-	SwitchS   float64   `toml:"switch_s"`
+	RateKB          []float64 `toml:"rate_kb"`
+	Worth           []float64 `toml:"worth"`
+	Width           []int     `toml:"width"`
+	SegmentMs       float64   `toml:"segment_ms"`
+	RungChangeCostS float64   `toml:"switch_s"`
 }
 
 // Fleet is what is known of the boxes beforehand.
 type Fleet struct {
-	Cells        int     `toml:"cells"`
-	Racks        int     `toml:"racks"`
-	Places       []int   `toml:"places"`
-	LinkUnitKB   float64 `toml:"link_unit_kb"`
-	AllLinksKB   float64 `toml:"all_links_kb"`
-	UplinkKB     float64 `toml:"uplink_kb"`
-	WeightsKnown bool    `toml:"weights_known"`
-	TellMs       float64 `toml:"tell_ms"`
-	ToldLateMs   float64 `toml:"told_late_ms"`
-	WarmWithinMs float64 `toml:"warm_within_ms"`
-	ColdFrom     float64 `toml:"cold_from"`
+	Cells            int     `toml:"cells"`
+	Racks            int     `toml:"racks"`
+	StreamsByKind    []int   `toml:"places"`
+	LinkKBPerWeight  float64 `toml:"link_unit_kb"`
+	TotalLinkKB      float64 `toml:"all_links_kb"`
+	UplinkKB         float64 `toml:"uplink_kb"`
+	WeightsKnown     bool    `toml:"weights_known"`
+	ReportIntervalMs float64 `toml:"tell_ms"`
+	ReportDelayMs    float64 `toml:"told_late_ms"`
+	WarmUpMs         float64 `toml:"warm_within_ms"`
+	ColdRateFraction float64 `toml:"cold_from"`
 }
 
 // Attempts bounds what is tried for a request.
 type Attempts struct {
-	Max             int     `toml:"max"`
-	RetryAfter      bool    `toml:"retry_after"`
-	MaxRetryAfterMs float64 `toml:"max_retry_after_ms"`
-	Rationed        bool    `toml:"rationed"`
-	MinExtra        float64 `toml:"min_extra"`
-	RepeatRatio     float64 `toml:"repeat_ratio"`
-	LookBackMs      float64 `toml:"look_back_ms"`
+	Max                 int     `toml:"max"`
+	RetryAfter          bool    `toml:"retry_after"`
+	MaxRetryAfterMs     float64 `toml:"max_retry_after_ms"`
+	RetryBudget         bool    `toml:"rationed"`
+	RetryBudgetMin      float64 `toml:"min_extra"`
+	RetryBudgetRatio    float64 `toml:"repeat_ratio"`
+	RetryBudgetWindowMs float64 `toml:"look_back_ms"`
 }
 
 // Class is one kind of session.
 type Class struct {
-	Name     string  `toml:"name"`
-	AimMs    float64 `toml:"aim_ms"`
-	GiveUpMs float64 `toml:"give_up_ms"`
-	Repeat   string  `toml:"repeat"` // repeatable, by_key or once
-	KeyScope string  `toml:"key_scope"`
-	KeyTTLMs float64 `toml:"key_ttl_ms"`
-	Value    float64 `toml:"value"`
-	Scale    float64 `toml:"scale"`
-	Floor    int     `toml:"floor"`
-	Top      int     `toml:"top"` // -1: the ladder's
-	Seats    int     `toml:"seats"`
+	Name        string  `toml:"name"`
+	TargetMs    float64 `toml:"aim_ms"`
+	GiveUpMs    float64 `toml:"give_up_ms"`
+	Semantics   string  `toml:"repeat"` // repeatable, by_key or once
+	KeyScope    string  `toml:"key_scope"`
+	KeyTTLMs    float64 `toml:"key_ttl_ms"`
+	Value       float64 `toml:"value"`
+	RateScale   float64 `toml:"scale"`
+	MinRung     int     `toml:"floor"`
+	MaxRung     int     `toml:"top"` // -1: the ladder's
+	MaxPerTitle int     `toml:"seats"`
 }
 
 // Title is one entry of the catalogue.
 type Title struct {
 	Name       string  `toml:"name"`
 	Class      string  `toml:"class"`
-	Home       int     `toml:"home"`
+	FirstCell  int     `toml:"home"`
 	Copies     int     `toml:"copies"`
 	DurationMs float64 `toml:"duration_ms"`
 }
@@ -242,17 +242,17 @@
 		List:     List{Path: "/list", RetryMs: 250, SilentMs: 5000},
 		Tokens:   Tokens{SkewMs: 250, Cache: 8192, Queue: 1024},
 		Limits: Limits{Connections: 20000, Line: 4608, Head: 16384, Fields: 64, Body: 65536,
-			Output: 262144, Entries: 200000, Waiters: 8, Boxes: 1024, PoolPerBox: 64, EventBytes: 1 << 20,
-			ConnsPerBox: 512, SessionsInAll: 100000, CommandsABox: 4096, OutputInAll: 256 << 20, Reports: 16 << 20, Timelines: 64 << 20, Message: 16384,
-			SocketOpens: 16, SocketHolds: 64, Sockets: 100000},
+			Output: 262144, Entries: 200000, Waiters: 8, Nodes: 1024, IdleConnsPerNode: 64, EventBytes: 1 << 20,
+			ConnsPerNode: 512, Sessions: 100000, CommandsPerNode: 4096, TotalOutput: 256 << 20, Reports: 16 << 20, Timelines: 64 << 20, Message: 16384,
+			PendingPerSocket: 16, SessionsPerSocket: 64, SocketSessions: 100000},
 		Quality: Quality{WindowMs: 5000, LateMs: 25000, SkewMs: 3600e3, KeepMs: 120000, LookMs: 500, ConfirmMs: 1500, Groups: 4096, SwitchCost: 1,
 			StallCost: 3, StartCost: 0.2, ShortUnder: 0.9, MinSessions: 6, MinScore: 8, Relieve: true},
-		Trace:   Trace{Part: 0.01},
-		History: History{SegmentS: 60, MaxBytes: 256 << 20, MaxAgeS: 30 * 86400},
-		Gate:    Gate{MinRetryMs: 200, RememberMs: 30000, Wishes: 100000, LagMs: 100, Queue: 20000},
-		Times: Times{HeadMs: 5000, IdleMs: 60000, WriteMs: 10000, ConnectMs: 250, BoxIdleMs: 15000, LateMs: 10000,
-			HoldMs: 8000, BoxSilentMs: 3000, BoxLostMs: 4000, FinishMs: 6000, PlayMs: 10000, EndMs: 1000,
-			CommandMs: 2000, MarginMs: 25, PingMs: 20000, PongMs: 10000, TieMs: 15000, ReportMs: 5000, NoticeMs: 250},
+		Trace:     Trace{Part: 0.01},
+		History:   History{SegmentS: 60, MaxBytes: 256 << 20, MaxAgeS: 30 * 86400},
+		Admission: Admission{MinRetryMs: 200, RememberMs: 30000, Wishes: 100000, LagMs: 100, Queue: 20000},
+		Times: Times{HeadMs: 5000, IdleMs: 60000, WriteMs: 10000, ConnectMs: 250, NodeIdleMs: 15000, LateAnswerMs: 10000,
+			UnclaimedTTLMs: 8000, NodeStreamTimeoutMs: 3000, NodeTimeoutMs: 4000, SetupDrainMs: 6000, SessionDrainMs: 10000, EndConfirmMs: 1000,
+			CommandMs: 2000, AnswerMarginMs: 25, PingMs: 20000, PongMs: 10000, DetachedTTLMs: 15000, ReportMs: 5000, NoticeMs: 250},
 		Ladder:   Ladder{SegmentMs: 2000},
 		Fleet:    Fleet{Cells: 1, Racks: 1},
 		Attempts: Attempts{Max: 3, RetryAfter: true, MaxRetryAfterMs: 1000},
@@ -261,18 +261,18 @@
 }
 
 // Problem is one fault with its place.
-type Problem struct {
-	File string
-	Line int // 0: the key is not in the file
-	Key  string
-	Why  string
+type SettingError struct {
+	File    string
+	Line    int // 0: the key is not in the file
+	Key     string
+	Message string
 }
 
-func (p Problem) Error() string {
+func (p SettingError) Error() string {
 	if p.Line == 0 {
-		return fmt.Sprintf("%s: %s: %s", p.File, p.Key, p.Why)
+		return fmt.Sprintf("%s: %s: %s", p.File, p.Key, p.Message)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Key, p.Why)
+	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Key, p.Message)
 }
 
 // Load reads and checks a file. The error joins one Problem for each fault found.
@@ -306,11 +306,11 @@
 	}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		if c.Scale == 0 {
-			c.Scale = 1
+		if c.RateScale == 0 {
+			c.RateScale = 1
 		}
-		if c.Top < 0 || c.Top == 0 && !wasSet(text, "class", i, "top") {
-			c.Top = len(s.Ladder.RateKB) - 1
+		if c.MaxRung < 0 || c.MaxRung == 0 && !wasSet(text, "class", i, "top") {
+			c.MaxRung = len(s.Ladder.RateKB) - 1
 		}
 	}
 	ck := &checker{file: file, lines: places(text), s: &s}
@@ -338,7 +338,7 @@
 		for i := range strict.Errors {
 			e := &strict.Errors[i]
 			row, _ := e.Position()
-			errs = append(errs, Problem{file, row, strings.Join(e.Key(), "."),
+			errs = append(errs, SettingError{file, row, strings.Join(e.Key(), "."),
 				"no such key; see docs/operate/director.md for all of them"})
 		}
 		return errors.Join(errs...)
@@ -350,7 +350,7 @@
 		if key == "" {
 			key = "syntax"
 		}
-		return Problem{file, row, key, strings.TrimPrefix(de.Error(), "toml: ")}
+		return SettingError{file, row, key, strings.TrimPrefix(de.Error(), "toml: ")}
 	}
 	return fmt.Errorf("%s: %w", file, err)
 }
@@ -401,7 +401,7 @@
 	file     string
 	lines    map[string]int
 	s        *Settings
-	problems []Problem
+	problems []SettingError
 }
 
 // bad notes a fault at a key; the line is the key's, else that of its table.
@@ -411,7 +411,7 @@
 		k = k[:strings.LastIndexByte(k, '.')]
 		line = c.lines[k]
 	}
-	c.problems = append(c.problems, Problem{c.file, line, key, fmt.Sprintf(why, args...)})
+	c.problems = append(c.problems, SettingError{c.file, line, key, fmt.Sprintf(why, args...)})
 }
 
 func (c *checker) addr(key, v string, zeroPort bool) {
@@ -439,7 +439,7 @@
 		c.bad("director.name", "is needed, for instance name = \"d0\"")
 	}
 	c.addr("director.listen", d.Listen, true)
-	if d.Name != "" && len(d.Directors) > 0 && s.Me() < 0 {
+	if d.Name != "" && len(d.Directors) > 0 && s.Self() < 0 {
 		c.bad("director.directors", "does not hold this director's own name %q", d.Name)
 	}
 	seen := map[string]bool{}
@@ -479,27 +479,27 @@
 		{"limits.head", float64(s.Limits.Head), 128}, {"limits.fields", float64(s.Limits.Fields), 4},
 		{"limits.body", float64(s.Limits.Body), 0},
 		{"limits.output", float64(s.Limits.Output), 4096}, {"limits.entries", float64(s.Limits.Entries), 1},
-		{"limits.waiters", float64(s.Limits.Waiters), 1}, {"limits.boxes", float64(s.Limits.Boxes), 1},
-		{"limits.pool_per_box", float64(s.Limits.PoolPerBox), 0},
+		{"limits.waiters", float64(s.Limits.Waiters), 1}, {"limits.boxes", float64(s.Limits.Nodes), 1},
+		{"limits.pool_per_box", float64(s.Limits.IdleConnsPerNode), 0},
 		{"limits.event_bytes", float64(s.Limits.EventBytes), 1024},
-		{"limits.conns_per_box", float64(s.Limits.ConnsPerBox), 2},
-		{"limits.sessions", float64(s.Limits.SessionsInAll), 1},
-		{"limits.commands_a_box", float64(s.Limits.CommandsABox), 1},
+		{"limits.conns_per_box", float64(s.Limits.ConnsPerNode), 2},
+		{"limits.sessions", float64(s.Limits.Sessions), 1},
+		{"limits.commands_a_box", float64(s.Limits.CommandsPerNode), 1},
 		{"times.head_ms", s.Times.HeadMs, 10}, {"times.idle_ms", s.Times.IdleMs, 10},
 		{"times.write_ms", s.Times.WriteMs, 10}, {"times.connect_ms", s.Times.ConnectMs, 1},
-		{"times.box_idle_ms", s.Times.BoxIdleMs, 10}, {"times.late_ms", s.Times.LateMs, 0},
-		{"times.hold_ms", s.Times.HoldMs, 0}, {"times.box_silent_ms", s.Times.BoxSilentMs, 50},
-		{"times.box_lost_ms", s.Times.BoxLostMs, 50}, {"times.finish_ms", s.Times.FinishMs, 0},
-		{"times.play_ms", s.Times.PlayMs, 0}, {"times.end_ms", s.Times.EndMs, 0},
-		{"times.command_ms", s.Times.CommandMs, 10}, {"times.margin_ms", s.Times.MarginMs, 0},
-		{"times.ping_ms", s.Times.PingMs, 50}, {"times.pong_ms", s.Times.PongMs, 50}, {"times.tie_ms", s.Times.TieMs, 0},
+		{"times.box_idle_ms", s.Times.NodeIdleMs, 10}, {"times.late_ms", s.Times.LateAnswerMs, 0},
+		{"times.hold_ms", s.Times.UnclaimedTTLMs, 0}, {"times.box_silent_ms", s.Times.NodeStreamTimeoutMs, 50},
+		{"times.box_lost_ms", s.Times.NodeTimeoutMs, 50}, {"times.finish_ms", s.Times.SetupDrainMs, 0},
+		{"times.play_ms", s.Times.SessionDrainMs, 0}, {"times.end_ms", s.Times.EndConfirmMs, 0},
+		{"times.command_ms", s.Times.CommandMs, 10}, {"times.margin_ms", s.Times.AnswerMarginMs, 0},
+		{"times.ping_ms", s.Times.PingMs, 50}, {"times.pong_ms", s.Times.PongMs, 50}, {"times.tie_ms", s.Times.DetachedTTLMs, 0},
 		{"times.report_ms", s.Times.ReportMs, 1}, {"times.notice_ms", s.Times.NoticeMs, 0},
-		{"limits.output_in_all", float64(s.Limits.OutputInAll), 65536}, {"limits.reports", float64(s.Limits.Reports), 0}, {"limits.timelines", float64(s.Limits.Timelines), 0},
-		{"limits.message", float64(s.Limits.Message), 1024}, {"limits.socket_opens", float64(s.Limits.SocketOpens), 1},
-		{"limits.socket_holds", float64(s.Limits.SocketHolds), 1}, {"limits.sockets", float64(s.Limits.Sockets), 1},
-		{"gate.min_retry_ms", s.Gate.MinRetryMs, 0}, {"gate.remember_ms", s.Gate.RememberMs, 0},
-		{"gate.wishes", float64(s.Gate.Wishes), 1}, {"gate.lag_ms", s.Gate.LagMs, 1}, {"gate.queue", s.Gate.Queue, 1},
-		{"gate.memory_bytes", s.Gate.MemoryBytes, 0},
+		{"limits.output_in_all", float64(s.Limits.TotalOutput), 65536}, {"limits.reports", float64(s.Limits.Reports), 0}, {"limits.timelines", float64(s.Limits.Timelines), 0},
+		{"limits.message", float64(s.Limits.Message), 1024}, {"limits.socket_opens", float64(s.Limits.PendingPerSocket), 1},
+		{"limits.socket_holds", float64(s.Limits.SessionsPerSocket), 1}, {"limits.sockets", float64(s.Limits.SocketSessions), 1},
+		{"gate.min_retry_ms", s.Admission.MinRetryMs, 0}, {"gate.remember_ms", s.Admission.RememberMs, 0},
+		{"gate.wishes", float64(s.Admission.Wishes), 1}, {"gate.lag_ms", s.Admission.LagMs, 1}, {"gate.queue", s.Admission.Queue, 1},
+		{"gate.memory_bytes", s.Admission.MemoryBytes, 0},
 		{"quality.window_ms", s.Quality.WindowMs, 100}, {"quality.late_ms", s.Quality.LateMs, 0}, {"quality.skew_ms", s.Quality.SkewMs, 0},
 		{"quality.keep_ms", s.Quality.KeepMs, 0}, {"quality.look_ms", s.Quality.LookMs, 50},
 		{"quality.confirm_ms", s.Quality.ConfirmMs, 0}, {"quality.groups", float64(s.Quality.Groups), 8},
@@ -509,15 +509,15 @@
 		{"history.segment_s", s.History.SegmentS, 0.1}, {"history.max_bytes", float64(s.History.MaxBytes), 0},
 		{"history.max_age_s", s.History.MaxAgeS, 0},
 		{"trace.part", s.Trace.Part, 0},
-		{"ladder.segment_ms", s.Ladder.SegmentMs, 100}, {"ladder.switch_s", s.Ladder.SwitchS, 0},
+		{"ladder.segment_ms", s.Ladder.SegmentMs, 100}, {"ladder.switch_s", s.Ladder.RungChangeCostS, 0},
 		{"fleet.cells", float64(s.Fleet.Cells), 1}, {"fleet.racks", float64(s.Fleet.Racks), 1},
-		{"fleet.link_unit_kb", s.Fleet.LinkUnitKB, 0}, {"fleet.all_links_kb", s.Fleet.AllLinksKB, 0},
-		{"fleet.uplink_kb", s.Fleet.UplinkKB, 0}, {"fleet.tell_ms", s.Fleet.TellMs, 0},
-		{"fleet.told_late_ms", s.Fleet.ToldLateMs, 0}, {"fleet.warm_within_ms", s.Fleet.WarmWithinMs, 0},
-		{"fleet.cold_from", s.Fleet.ColdFrom, 0}, {"attempts.max", float64(s.Attempts.Max), 1},
+		{"fleet.link_unit_kb", s.Fleet.LinkKBPerWeight, 0}, {"fleet.all_links_kb", s.Fleet.TotalLinkKB, 0},
+		{"fleet.uplink_kb", s.Fleet.UplinkKB, 0}, {"fleet.tell_ms", s.Fleet.ReportIntervalMs, 0},
+		{"fleet.told_late_ms", s.Fleet.ReportDelayMs, 0}, {"fleet.warm_within_ms", s.Fleet.WarmUpMs, 0},
+		{"fleet.cold_from", s.Fleet.ColdRateFraction, 0}, {"attempts.max", float64(s.Attempts.Max), 1},
 		{"attempts.max_retry_after_ms", s.Attempts.MaxRetryAfterMs, 0},
-		{"attempts.min_extra", s.Attempts.MinExtra, 0}, {"attempts.repeat_ratio", s.Attempts.RepeatRatio, 0},
-		{"attempts.look_back_ms", s.Attempts.LookBackMs, 0},
+		{"attempts.min_extra", s.Attempts.RetryBudgetMin, 0}, {"attempts.repeat_ratio", s.Attempts.RetryBudgetRatio, 0},
+		{"attempts.look_back_ms", s.Attempts.RetryBudgetWindowMs, 0},
 	} {
 		c.atLeast(f.key, f.v, f.least)
 	}
@@ -537,15 +537,15 @@
 		c.addr("director.operator", d.Operator, true)
 	}
 	brands := map[string]bool{}
-	for i, b := range s.Brands {
+	for i, b := range s.Tenants {
 		at := fmt.Sprintf("brand[%d].", i)
 		if b.Name == "" || brands[b.Name] {
 			c.bad(at+"name", "%q must be a name of its own", b.Name)
 		}
 		brands[b.Name] = true
 		c.atLeast(at+"share", b.Share, 0)
-		if !(b.Most >= 0) || b.Most > 1 {
-			c.bad(at+"most", "%v must be a part from 0 (no cap) to 1", b.Most)
+		if !(b.MaxShare >= 0) || b.MaxShare > 1 {
+			c.bad(at+"most", "%v must be a part from 0 (no cap) to 1", b.MaxShare)
 		}
 	}
 	c.ladder()
@@ -588,26 +588,26 @@
 			c.bad(at+"name", "%q must be a name of its own", k.Name)
 		}
 		seen[k.Name] = true
-		c.atLeast(at+"aim_ms", k.AimMs, 1)
+		c.atLeast(at+"aim_ms", k.TargetMs, 1)
 		c.atLeast(at+"give_up_ms", k.GiveUpMs, 1)
 		c.atLeast(at+"value", k.Value, 0)
-		c.atLeast(at+"scale", k.Scale, 0.001)
+		c.atLeast(at+"scale", k.RateScale, 0.001)
 		c.atLeast(at+"key_ttl_ms", k.KeyTTLMs, 0)
-		if k.Repeat != "repeatable" && k.Repeat != "by_key" && k.Repeat != "once" {
-			c.bad(at+"repeat", "%q must be repeatable, by_key or once", k.Repeat)
+		if k.Semantics != "repeatable" && k.Semantics != "by_key" && k.Semantics != "once" {
+			c.bad(at+"repeat", "%q must be repeatable, by_key or once", k.Semantics)
 		}
 		if k.KeyScope != "" && k.KeyScope != "all" && k.KeyScope != "zone" && k.KeyScope != "cell" {
 			c.bad(at+"key_scope", "%q must be all, zone or cell", k.KeyScope)
 		}
-		if n := len(c.s.Ladder.RateKB); k.Floor < 0 || k.Floor > k.Top || k.Top >= n {
-			c.bad(at+"floor", "floor %d and top %d do not fit a ladder of %d rungs", k.Floor, k.Top, n)
+		if n := len(c.s.Ladder.RateKB); k.MinRung < 0 || k.MinRung > k.MaxRung || k.MaxRung >= n {
+			c.bad(at+"floor", "floor %d and top %d do not fit a ladder of %d rungs", k.MinRung, k.MaxRung, n)
 		}
-		if k.Seats < 0 {
-			c.bad(at+"seats", "%d must be 0 (no cap) or more", k.Seats)
+		if k.MaxPerTitle < 0 {
+			c.bad(at+"seats", "%d must be 0 (no cap) or more", k.MaxPerTitle)
 		}
-		if k.GiveUpMs > c.s.Times.FinishMs {
+		if k.GiveUpMs > c.s.Times.SetupDrainMs {
 			c.bad("times.finish_ms", "%v is under the give_up_ms of class %q, %v: a stop would cut its answers short",
-				c.s.Times.FinishMs, k.Name, k.GiveUpMs)
+				c.s.Times.SetupDrainMs, k.Name, k.GiveUpMs)
 		}
 	}
 }
@@ -620,11 +620,11 @@
 			c.bad(at+"name", "%q must be a name of its own without / ? # %% or space", t.Name)
 		}
 		seen[t.Name] = true
-		if c.s.ClassNumber(t.Class) < 0 {
+		if c.s.ClassIndex(t.Class) < 0 {
 			c.bad(at+"class", "there is no [[class]] named %q", t.Class)
 		}
-		if t.Home < 0 || t.Home >= c.s.Fleet.Cells {
-			c.bad(at+"home", "cell %d of %d", t.Home, c.s.Fleet.Cells)
+		if t.FirstCell < 0 || t.FirstCell >= c.s.Fleet.Cells {
+			c.bad(at+"home", "cell %d of %d", t.FirstCell, c.s.Fleet.Cells)
 		}
 		if t.Copies < 1 || t.Copies > c.s.Fleet.Cells {
 			c.bad(at+"copies", "%d must be 1 to %d cells", t.Copies, c.s.Fleet.Cells)
@@ -634,7 +634,7 @@
 }
 
 // Me is this director's number among Directors; 0 where it is alone, -1 where its name is missing.
-func (s *Settings) Me() int {
+func (s *Settings) Self() int {
 	if len(s.Director.Directors) == 0 {
 		return 0
 	}
@@ -647,7 +647,7 @@
 }
 
 // ClassNumber is the position of a class; -1 where there is none of that name.
-func (s *Settings) ClassNumber(name string) int {
+func (s *Settings) ClassIndex(name string) int {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
 			return i
@@ -659,24 +659,24 @@
 // Module is the part that the decision module is given.
 func (s *Settings) Module() headmill.Config {
 	c := headmill.Config{
-		Me: max(s.Me(), 0), Fronts: max(len(s.Director.Directors), 1), Zone: s.Director.Zone,
-		RateKB: s.Ladder.RateKB, RungWorth: s.Ladder.Worth, SwitchS: s.Ladder.SwitchS,
-		Cells: s.Fleet.Cells, Racks: s.Fleet.Racks, Places: s.Fleet.Places, LinkUnitKB: s.Fleet.LinkUnitKB,
-		AllLinksKB: s.Fleet.AllLinksKB, UplinkKB: s.Fleet.UplinkKB, WeightsKnown: s.Fleet.WeightsKnown,
-		TellMs: s.Fleet.TellMs, ToldLateMs: s.Fleet.ToldLateMs, WarmWithinMs: s.Fleet.WarmWithinMs,
-		ColdFrom: s.Fleet.ColdFrom, MaxAttempts: s.Attempts.Max, RetryAfter: s.Attempts.RetryAfter,
-		MaxRetryAfterMs: s.Attempts.MaxRetryAfterMs, RetryRationed: s.Attempts.Rationed,
-		MinExtra: s.Attempts.MinExtra, RepeatRatio: s.Attempts.RepeatRatio, LookBackMs: s.Attempts.LookBackMs,
+		Self: max(s.Self(), 0), Fronts: max(len(s.Director.Directors), 1), Zone: s.Director.Zone,
+		RateKB: s.Ladder.RateKB, RungWorth: s.Ladder.Worth, RungChangeCostS: s.Ladder.RungChangeCostS,
+		Cells: s.Fleet.Cells, Racks: s.Fleet.Racks, StreamsByKind: s.Fleet.StreamsByKind, LinkKBPerWeight: s.Fleet.LinkKBPerWeight,
+		TotalLinkKB: s.Fleet.TotalLinkKB, UplinkKB: s.Fleet.UplinkKB, WeightsKnown: s.Fleet.WeightsKnown,
+		ReportIntervalMs: s.Fleet.ReportIntervalMs, ReportDelayMs: s.Fleet.ReportDelayMs, WarmUpMs: s.Fleet.WarmUpMs,
+		ColdRateFraction: s.Fleet.ColdRateFraction, MaxAttempts: s.Attempts.Max, RetryAfter: s.Attempts.RetryAfter,
+		MaxRetryAfterMs: s.Attempts.MaxRetryAfterMs, RetryBudget: s.Attempts.RetryBudget,
+		RetryBudgetMin: s.Attempts.RetryBudgetMin, RetryBudgetRatio: s.Attempts.RetryBudgetRatio, RetryBudgetWindowMs: s.Attempts.RetryBudgetWindowMs,
 	}
 	for i := range s.Classes {
 		k := &s.Classes[i]
-		m := headmill.Class{AimMs: k.AimMs, KeyTTLMs: k.KeyTTLMs, Value: k.Value, Scale: k.Scale,
-			Floor: k.Floor, Top: k.Top, Seats: k.Seats}
-		switch k.Repeat {
+		m := headmill.Class{TargetMs: k.TargetMs, KeyTTLMs: k.KeyTTLMs, Value: k.Value, RateScale: k.RateScale,
+			MinRung: k.MinRung, MaxRung: k.MaxRung, MaxPerTitle: k.MaxPerTitle}
+		switch k.Semantics {
 		case "once":
-			m.Repeat = headmill.Once
+			m.Semantics = headmill.AtMostOnce
 		case "by_key":
-			m.Repeat = headmill.ByKey
+			m.Semantics = headmill.IdempotentByKey
 		}
 		switch k.KeyScope {
 		case "zone":
--- a/internal/director/agent.go
+++ b/internal/director/agent.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"headmill/decide/retire"
+	"headmill/decide/shutdown"
 	"headmill/internal/loop"
 )
 
@@ -26,7 +26,7 @@
 // agentLine is what is said: drain as soon as a stop was asked for, down without a box list, else the weight.
 func (d *Director) agentLine() string {
 	switch {
-	case d.stop.Phase() != retire.Serving:
+	case d.stop.Phase() != shutdown.PhaseServing:
 		return "drain\n"
 	case d.fleet.Len() == 0:
 		return "down #no box list\n"
@@ -41,7 +41,7 @@
 	ln, err := d.l.Listen(d.cfg.Director.Agent, func(c *loop.Conn) loop.Handler {
 		d.stats.Checks++
 		c.Write([]byte(d.agentLine()))
-		c.End()
+		c.CloseWrite()
 		return agent{d}
 	})
 	if err == nil {
--- a/internal/director/answer.go
+++ b/internal/director/answer.go
@@ -7,8 +7,8 @@
 	"math"
 	"strconv"
 
-	"headmill/decide/once"
-	"headmill/decide/retire"
+	"headmill/decide/idempotency"
+	"headmill/decide/shutdown"
 	"headmill/internal/http1"
 )
 
@@ -46,7 +46,7 @@
 	if !v.keep {
 		v.cut = true
 		v.deadline = d.l.Now() + d.cfg.Times.WriteMs
-		v.c.End()
+		v.c.CloseWrite()
 		return
 	}
 	v.deadline = d.l.Now() + d.cfg.Times.IdleMs
@@ -104,7 +104,7 @@
 func (v *viewer) health(head bool) {
 	status, body := 200, "ok\nboxes "+strconv.Itoa(v.d.fleet.Len())+"\nweight "+strconv.Itoa(v.d.gate.Weight())+"\n"
 	switch {
-	case v.d.stop.Phase() != retire.Serving:
+	case v.d.stop.Phase() != shutdown.PhaseServing:
 		status, body = 503, "stopping\n"
 	case v.d.fleet.Len() == 0:
 		status, body = 503, "no box list\n"
@@ -125,7 +125,7 @@
 		b := http1.AppendField(v.head(307), "Location", d.manifestURL(r.home, o))
 		v.write(http1.AppendBody(b, nil, false))
 	case isRefused:
-		if r.reason == once.ReasonStop.String() {
+		if r.reason == idempotency.ReasonShuttingDown.String() {
 			v.keep = false
 		}
 		v.problem(r.status, "refused-"+r.reason, r.detail, r.retryMs)
--- a/internal/director/core.go
+++ b/internal/director/core.go
@@ -5,8 +5,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"headmill/decide/idempotency"
 	"headmill/decide/limits"
-	"headmill/decide/once"
 	"headmill/internal/token"
 )
 
@@ -18,7 +18,7 @@
 // order is one request for a session, of whichever front. It is owed exactly one result.
 type order struct {
 	front  front
-	waiter once.Waiter
+	waiter idempotency.RequestID
 	claims claims
 	title  *title
 	since  float64
@@ -71,7 +71,7 @@
 		return nil, &denial{404, "no-such-title", "the catalogue has no title of this name"}
 	case c.Class != t.Class:
 		return nil, &denial{403, "wrong-class", "the session token is for another class than the title's"}
-	case c.Top < d.cfg.Classes[t.class].Floor:
+	case c.MaxRung < d.cfg.Classes[t.class].MinRung:
 		return nil, &denial{403, "under-floor", "the viewer's highest rung is under the floor of the class"}
 	}
 	return t, nil
@@ -88,13 +88,13 @@
 	now := d.wall()
 	d.lastWaiter++
 	o.waiter, o.title, o.since = d.lastWaiter, t, d.l.Now()
-	o.claims = claims{raw: strings.Clone(raw), id: c.ID, viewer: c.Subject, brand: c.Brand, family: c.Family, top: c.Top,
-		wish: print(c), brandNo: d.gate.BrandNumber(c.Brand)}
+	o.claims = claims{raw: strings.Clone(raw), id: c.ID, viewer: c.Subject, brand: c.Tenant, family: c.Family, top: c.MaxRung,
+		wish: print(c), brandNo: d.gate.TenantIndex(c.Tenant)}
 	d.waiters[o.waiter] = o
 	d.stats.Asked++
-	ev := once.Event{Kind: once.Ask, Waiter: o.waiter, Key: c.ID, Print: o.claims.wish,
-		Paid: d.cfg.Classes[t.class].Repeat == "once", Tied: o.tied, AgeMs: c.AgeMs(now), LeftMs: c.LeftMs(now)}
-	if d.ledger.Begins(d.l.Now(), &ev) && !d.admits(o) {
+	ev := idempotency.Event{Kind: idempotency.RequestArrived, Request: o.waiter, Key: c.ID, Fingerprint: o.claims.wish,
+		Paid: d.cfg.Classes[t.class].Semantics == "once", ConnectionBound: o.tied, TokenAgeMs: c.AgeMs(now), TokenTTLMs: c.TTLMs(now)}
+	if d.ledger.WouldStartSetup(d.l.Now(), &ev) && !d.admits(o) {
 		return
 	}
 	d.lastSession++
@@ -104,28 +104,28 @@
 
 // admits asks decide/limits and the accounts; what is not let in is refused at once.
 func (d *Director) admits(o *order) bool {
-	if !d.accounts.Room(limits.Sessions, 1) || !d.accounts.Room(limits.Ledger, 1) {
+	if !d.accounts.Fits(limits.Sessions, 1) || !d.accounts.Fits(limits.Ledger, 1) {
 		d.settle(o, result{verdict: isRefused, reason: "full", status: 503, retryMs: d.cfg.Attempts.MaxRetryAfterMs,
 			detail: "this director is at a limit of its settings; nothing was set up"})
 		return false
 	}
-	a := d.gate.Step(d.l.Now(), []limits.Event{{Kind: limits.Ask, ID: uint64(o.waiter), Wish: o.claims.wish,
-		Title: o.title.number, Brand: o.claims.brandNo, Class: o.title.class, Home: o.title.Home, Copies: o.title.Copies,
-		Top: o.claims.top}}, nil)[0]
-	o.claims.spare, o.claims.repeated = a.Spare, a.Repeated
-	if a.Reason == limits.Pass {
-		o.claims.top = a.Top
+	a := d.gate.Step(d.l.Now(), []limits.Event{{Kind: limits.Request, ID: uint64(o.waiter), RequestKey: o.claims.wish,
+		Title: o.title.number, Tenant: o.claims.brandNo, Class: o.title.class, FirstCell: o.title.FirstCell, Copies: o.title.Copies,
+		MaxRung: o.claims.top}}, nil)[0]
+	o.claims.spare, o.claims.repeated = a.Headroom, a.Retried
+	if a.Reason == limits.Admitted {
+		o.claims.top = a.MaxRung
 		return true
 	}
 	d.stats.Shed++
-	d.settle(o, result{verdict: isRefused, reason: a.Reason.String(), status: 503, retryMs: a.RetryMs, detail: sheds[a.Reason]})
+	d.settle(o, result{verdict: isRefused, reason: a.Reason.String(), status: 503, retryMs: a.RetryAfterMs, detail: sheds[a.Reason]})
 	return false
 }
 
 var sheds = map[limits.Reason]string{
-	limits.Overload: "this director has more to do than it can; nothing was set up",
-	limits.Share:    "the brand holds its share and others use theirs; nothing was set up",
-	limits.Title:    "other titles of the brand go first for the moment; nothing was set up",
+	limits.DirectorOverloaded: "this director has more to do than it can; nothing was set up",
+	limits.TenantOverShare:    "the brand holds its share and others use theirs; nothing was set up",
+	limits.TitleOverShare:     "other titles of the brand go first for the moment; nothing was set up",
 }
 
 // settle gives an order its one result.
@@ -157,48 +157,48 @@
 		return
 	}
 	delete(d.waiters, o.waiter)
-	d.ledgerIn = append(d.ledgerIn, once.Event{Kind: once.Left, Waiter: o.waiter})
+	d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.RequestCancelled, Request: o.waiter})
 	d.final(o, nil, "viewer left", 0, "")
 }
 
 // quit ends a session by its viewer's wish; false where this director knows none of that token.
 func (d *Director) quit(c *token.Claims) bool {
 	_, state, known := d.ledger.Lookup(c.ID)
-	if !known || state == once.StateOver || state == once.StateVoid || state == once.StateLost {
+	if !known || state == idempotency.StateEnded || state == idempotency.StateNeverRan || state == idempotency.StateOutcomeUnknown {
 		return false
 	}
-	d.ledgerIn = append(d.ledgerIn, once.Event{Kind: once.Quit, Key: c.ID, Print: print(c)})
+	d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.EndRequested, Key: c.ID, Fingerprint: print(c)})
 	return true
 }
 
 // refused and failed are the results that the ledger's actions stand for.
-func (d *Director) refused(o *order, a once.Action) {
-	r := result{verdict: isRefused, s: d.sessions[a.Session], status: 503, reason: a.Reason.String(), retryMs: a.RetryMs,
+func (d *Director) refused(o *order, a idempotency.Action) {
+	r := result{verdict: isRefused, s: d.sessions[a.Session], status: 503, reason: a.Reason.String(), retryMs: a.RetryAfterMs,
 		detail: "no box can take this session now; nothing was set up"}
 	switch a.Reason {
-	case once.ReasonFull:
+	case idempotency.ReasonLedgerFull:
 		r.detail = "this director is at a limit of its settings; nothing was set up"
-	case once.ReasonStop:
+	case idempotency.ReasonShuttingDown:
 		r.detail = "this director is stopping; another one will take the session"
 	}
 	d.settle(o, r)
 }
 
-var failures = map[once.Reason]struct {
+var failures = map[idempotency.Reason]struct {
 	status int
 	detail string
 }{
-	once.ReasonBox:     {502, "the box failed while the session was set up; whether it ran is not known"},
-	once.ReasonTime:    {504, "no box answered in time; whether the session was set up is not known"},
-	once.ReasonUnknown: {502, "an earlier try of this session may have been set up; it is not set up again"},
-	once.ReasonOver:    {410, "this session was set up and has ended; a paid session is not set up again"},
-	once.ReasonEarlier: {409, "the token is older than this director's start; it may have been used before. Get a new token"},
-	once.ReasonReused:  {403, "the token's jti belongs to another session"},
-	once.ReasonCrowd:   {429, "too many requests wait for this session already; one of them will be answered"},
-	once.ReasonStop:    {502, "this director is leaving before the set-up was answered; whether it ran is not known"},
+	idempotency.ReasonNodeFailed:     {502, "the box failed while the session was set up; whether it ran is not known"},
+	idempotency.ReasonTimeout:        {504, "no box answered in time; whether the session was set up is not known"},
+	idempotency.ReasonOutcomeUnknown: {502, "an earlier try of this session may have been set up; it is not set up again"},
+	idempotency.ReasonSessionEnded:   {410, "this session was set up and has ended; a paid session is not set up again"},
+	idempotency.ReasonBeforeRestart:  {409, "the token is older than this director's start; it may have been used before. Get a new token"},
+	idempotency.ReasonTokenReused:    {403, "the token's jti belongs to another session"},
+	idempotency.ReasonTooManyWaiting: {429, "too many requests wait for this session already; one of them will be answered"},
+	idempotency.ReasonShuttingDown:   {502, "this director is leaving before the set-up was answered; whether it ran is not known"},
 }
 
-func (d *Director) failed(o *order, a once.Action) {
+func (d *Director) failed(o *order, a idempotency.Action) {
 	f, ok := failures[a.Reason]
 	if !ok {
 		f.status, f.detail = 502, "the session could not be set up; whether it ran is not known"
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -26,11 +26,11 @@
 	"github.com/cespare/xxhash/v2"
 
 	"headmill"
-	"headmill/decide/boxes"
-	"headmill/decide/fleet"
+	"headmill/decide/discovery"
+	"headmill/decide/health"
+	"headmill/decide/idempotency"
 	"headmill/decide/limits"
-	"headmill/decide/once"
-	"headmill/decide/retire"
+	"headmill/decide/shutdown"
 	"headmill/internal/config"
 	"headmill/internal/history"
 	"headmill/internal/http1"
@@ -66,37 +66,37 @@
 	listen *loop.Listener
 
 	module   *headmill.Controller
-	ledger   *once.Ledger
-	watch    *boxes.Watch
-	fleet    *fleet.List
-	stop     *retire.Stop
-	gate     *limits.Gate
-	sizes    limits.Fleet
+	ledger   *idempotency.Ledger
+	watch    *health.Monitor
+	fleet    *discovery.List
+	stop     *shutdown.Shutdown
+	gate     *limits.Admission
+	sizes    limits.CapacityEstimator
 	views    views
-	accounts limits.Accounts
+	accounts limits.Quotas
 	check    *token.Checker
 	pool     *token.Pool
 	titles   map[string]*title
 
 	// What waits for the decision modules, in the order in which it was seen.
 	moduleIn []headmill.Event
-	ledgerIn []once.Event
-	watchIn  []boxes.Event
+	ledgerIn []idempotency.Event
+	watchIn  []health.Event
 	module0  []headmill.Event
-	ledger0  []once.Event
-	watch0   []boxes.Event
+	ledger0  []idempotency.Event
+	watch0   []health.Event
 	acts     []headmill.Action
 	flushing bool
 
-	sessions map[once.Session]*session
+	sessions map[idempotency.SessionID]*session
 	viewers  map[*viewer]struct{}
-	waiters  map[once.Waiter]*order
+	waiters  map[idempotency.RequestID]*order
 	sockets  map[*socket]struct{}
-	boxes    map[headmill.ServerID]*box
+	boxes    map[headmill.NodeID]*box
 	list     listClient
 
-	lastSession  once.Session
-	lastWaiter   once.Waiter
+	lastSession  idempotency.SessionID
+	lastWaiter   idempotency.RequestID
 	parsers      []*http1.Parser
 	scratch      []byte
 	body         []byte
@@ -125,8 +125,8 @@
 		return nil, fmt.Errorf("director: %w", err)
 	}
 	d := &Director{cfg: cfg, l: l, log: log, boot: fmt.Sprintf("%08x", b[8:]), seed: cfg.Director.Seed,
-		titles: map[string]*title{}, sessions: map[once.Session]*session{}, viewers: map[*viewer]struct{}{},
-		waiters: map[once.Waiter]*order{}, sockets: map[*socket]struct{}{}, boxes: map[headmill.ServerID]*box{}}
+		titles: map[string]*title{}, sessions: map[idempotency.SessionID]*session{}, viewers: map[*viewer]struct{}{},
+		waiters: map[idempotency.RequestID]*order{}, sockets: map[*socket]struct{}{}, boxes: map[headmill.NodeID]*box{}}
 	if d.seed == 0 {
 		d.seed = binary.LittleEndian.Uint64(b[:])
 	}
@@ -136,7 +136,7 @@
 	}
 	for i := range cfg.Titles {
 		t := &cfg.Titles[i]
-		d.titles[t.Name] = &title{Title: t, number: xxhash.Sum64String(t.Name) | 1, class: cfg.ClassNumber(t.Class)}
+		d.titles[t.Name] = &title{Title: t, number: xxhash.Sum64String(t.Name) | 1, class: cfg.ClassIndex(t.Class)}
 	}
 	d.check = token.NewChecker(keys, cfg.Tokens.Cache, time.Duration(cfg.Tokens.SkewMs*float64(time.Millisecond)))
 	workers := cfg.Tokens.Workers
@@ -144,17 +144,17 @@
 		workers = runtime.NumCPU() - 1
 	}
 	d.pool = token.NewPool(workers, cfg.Tokens.Queue, l.Post)
-	d.ledger = once.New(once.Config{Me: max(cfg.Me(), 0), Directors: cfg.Director.Directors,
-		MaxEntries: cfg.Limits.Entries, MaxWaiters: cfg.Limits.Waiters, HoldMs: cfg.Times.HoldMs, TieMs: cfg.Times.TieMs,
-		SkewMs: cfg.Tokens.SkewMs, RetryMs: cfg.Attempts.MaxRetryAfterMs, UnprovenMs: cfg.Times.LateMs,
-		StartedMs: l.Now(), FirstStart: cfg.Director.FirstStart, SharedPaid: len(cfg.Director.Directors) > 1})
+	d.ledger = idempotency.New(idempotency.Config{Self: max(cfg.Self(), 0), Directors: cfg.Director.Directors,
+		MaxEntries: cfg.Limits.Entries, MaxWaiters: cfg.Limits.Waiters, UnclaimedTTLMs: cfg.Times.UnclaimedTTLMs, DetachedTTLMs: cfg.Times.DetachedTTLMs,
+		ClockSkewMs: cfg.Tokens.SkewMs, RetryAfterMs: cfg.Attempts.MaxRetryAfterMs, LateAnswerMs: cfg.Times.LateAnswerMs,
+		StartedMs: l.Now(), FirstStart: cfg.Director.FirstStart, ShardPaid: len(cfg.Director.Directors) > 1})
 	d.setGate()
 	d.setViews()
 	t := &cfg.Times
-	d.watch = boxes.New(boxes.Config{SilentMs: t.BoxSilentMs, LostMs: t.BoxLostMs, RetryMs: 100, MaxRetry: 1000,
-		IdleMs: t.BoxIdleMs, OpenMs: t.BoxSilentMs})
-	d.fleet = fleet.New(fleet.Config{MaxBoxes: cfg.Limits.Boxes, Cells: cfg.Fleet.Cells, Kinds: len(cfg.Fleet.Places)})
-	d.stop = retire.New(retire.Config{NoticeMs: t.NoticeMs, FinishMs: t.FinishMs, PlayMs: t.PlayMs, EndMs: t.EndMs})
+	d.watch = health.New(health.Config{StreamTimeoutMs: t.NodeStreamTimeoutMs, NodeTimeoutMs: t.NodeTimeoutMs, MinRetryMs: 100, MaxRetryMs: 1000,
+		IdleTimeoutMs: t.NodeIdleMs, OpenTimeoutMs: t.NodeStreamTimeoutMs})
+	d.fleet = discovery.New(discovery.Config{MaxNodes: cfg.Limits.Nodes, Cells: cfg.Fleet.Cells, Kinds: len(cfg.Fleet.StreamsByKind)})
+	d.stop = shutdown.New(shutdown.Config{NoticeMs: t.NoticeMs, SetupDrainMs: t.SetupDrainMs, SessionDrainMs: t.SessionDrainMs, EndConfirmMs: t.EndConfirmMs})
 	d.list.d = d
 	return d, nil
 }
@@ -203,8 +203,8 @@
 }
 
 func (d *Director) tick() {
-	d.ledgerIn = append(d.ledgerIn, once.Event{Kind: once.Tick})
-	d.watchIn = append(d.watchIn, boxes.Event{Kind: boxes.Tick})
+	d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.Tick})
+	d.watchIn = append(d.watchIn, health.Event{Kind: health.Tick})
 	d.sweepViewers()
 	d.sweepSockets()
 	d.measure()
@@ -225,31 +225,31 @@
 			}
 		}
 	}
-	for _, a := range d.stop.Step(d.l.Now(), retire.Facts{Asked: d.asked, Hurry: d.hurry,
-		Waiting: len(d.waiters), Playing: playing, Ending: d.ending}, nil) {
+	for _, a := range d.stop.Step(d.l.Now(), shutdown.Status{StopRequested: d.asked, SkipDrain: d.hurry,
+		PendingRequests: len(d.waiters), PlayingSessions: playing, UnconfirmedEnds: d.ending}, nil) {
 		d.log.Info("stopping", "phase", d.stop.Phase().String(), "waiting", len(d.waiters), "playing", playing)
 		switch a {
-		case retire.StopTaking:
+		case shutdown.RefuseNewSessions:
 			d.ledger.Stop()
 			for v := range d.viewers {
 				v.lastCall()
 			}
-		case retire.CloseDoor:
+		case shutdown.CloseListeners:
 			d.listen.Close()
-		case retire.FailWaiting:
+		case shutdown.FailPending:
 			for id := range d.sessions {
-				d.ledgerIn = append(d.ledgerIn, once.Event{Kind: once.Failed, Session: id, Why: once.ReasonStop})
+				d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.SetupFailed, Session: id, Reason: idempotency.ReasonShuttingDown})
 			}
-		case retire.EndSessions:
+		case shutdown.EndSessions:
 			for _, s := range d.sessions {
 				if s.state == plays {
 					d.endAtBox(s)
 				}
 			}
-		case retire.CutAll:
+		case shutdown.CloseAllConnections:
 			d.flush()
 			for v := range d.viewers {
-				v.c.End()
+				v.c.CloseWrite()
 			}
 			for k := range d.sockets {
 				k.close(ws.GoingAway, "this director is leaving")
@@ -270,17 +270,17 @@
 }
 
 // parseName finds the session that a box speaks of; false for one of an earlier run or of another director.
-func (d *Director) parseName(name string) (once.Session, bool) {
+func (d *Director) parseName(name string) (idempotency.SessionID, bool) {
 	rest, ok := strings.CutPrefix(name, d.cfg.Director.Name+"."+d.boot+".")
 	if !ok {
 		return 0, false
 	}
-	var id once.Session
+	var id idempotency.SessionID
 	for _, c := range rest {
 		if c < '0' || c > '9' || id > 1<<32/10-1 {
 			return 0, false
 		}
-		id = id*10 + once.Session(c-'0')
+		id = id*10 + idempotency.SessionID(c-'0')
 	}
 	return id, len(rest) > 0
 }
--- a/internal/director/front.go
+++ b/internal/director/front.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"headmill/decide/limits"
-	"headmill/decide/retire"
+	"headmill/decide/shutdown"
 	"headmill/internal/http1"
 	"headmill/internal/loop"
 	"headmill/internal/token"
@@ -38,10 +38,10 @@
 }
 
 func (d *Director) accept(c *loop.Conn) loop.Handler {
-	if !d.accounts.Take(limits.Connections, 1) {
+	if !d.accounts.Acquire(limits.Connections, 1) {
 		if now := d.l.Now(); now-d.saidFull > 2000 {
 			d.saidFull = now
-			d.log.Warn("connections closed at once: limits.connections is reached", "connections", d.accounts.Of(limits.Connections).Used)
+			d.log.Warn("connections closed at once: limits.connections is reached", "connections", d.accounts.Usage(limits.Connections).Used)
 		}
 		return nil
 	}
@@ -68,7 +68,7 @@
 		d.stats.CutSlow++
 	}
 	delete(d.viewers, v)
-	d.accounts.Give(limits.Connections, 1)
+	d.accounts.Release(limits.Connections, 1)
 	if v.state == awaiting {
 		d.leave(v.order)
 	}
@@ -155,7 +155,7 @@
 // request answers a whole request or hands it to the ledger.
 func (v *viewer) request() {
 	d, m := v.d, &v.p.Msg
-	v.keep = !m.Close && d.stop.Phase() == retire.Serving
+	v.keep = !m.Close && d.stop.Phase() == shutdown.PhaseServing
 	path, query, _ := strings.Cut(string(m.Target), "?")
 	method := string(m.Method)
 	switch {
@@ -220,11 +220,11 @@
 			v.deny(&denial{404, "no-such-session", "no session of this token plays here"})
 			return
 		}
-		s.meter.PerMs, s.meter.Burst = 1/d.cfg.Times.ReportMs, reportBurst
+		s.meter.RatePerMs, s.meter.Burst = 1/d.cfg.Times.ReportMs, reportBurst
 		for _, line := range lines {
 			switch line = strings.TrimSpace(line); {
 			case line == "":
-			case len(line) > maxReport || !s.meter.Take(d.l.Now()) || !d.accounts.Room(limits.Reports, int64(len(line))):
+			case len(line) > maxReport || !s.meter.Allow(d.l.Now()) || !d.accounts.Fits(limits.Reports, int64(len(line))):
 				d.stats.ReportsDropped++
 			default:
 				d.seen(s, line, 0, 0)
@@ -304,7 +304,7 @@
 func (v *viewer) lastCall() {
 	v.keep = false
 	if v.state == resting {
-		v.c.End()
+		v.c.CloseWrite()
 	}
 }
 
@@ -325,7 +325,7 @@
 			v.problem(408, "too-slow", "the request did not come whole in time", 0)
 			continue
 		}
-		v.c.Close(loop.ErrIdle)
+		v.c.Close(loop.ErrClosedByOwner)
 	}
 }
 
@@ -337,7 +337,7 @@
 		why = "no-token"
 	case errors.Is(err, token.ErrExpired):
 		why = "token-expired"
-	case errors.Is(err, token.ErrKey):
+	case errors.Is(err, token.ErrUnknownKey):
 		why = "unknown-key"
 	}
 	return &denial{401, why, err.Error()}
--- a/internal/director/list.go
+++ b/internal/director/list.go
@@ -5,7 +5,7 @@
 	"net/url"
 
 	"headmill"
-	"headmill/decide/fleet"
+	"headmill/decide/discovery"
 	"headmill/decide/limits"
 	"headmill/internal/http1"
 	"headmill/internal/loop"
@@ -52,7 +52,7 @@
 	if c.tries <= 3 || c.tries%100 == 0 {
 		c.d.log.Warn("box list is not at hand; the last one stays in force", "at", what, "error", err, "tries", c.tries)
 	}
-	c.d.toModule(headmill.Event{Kind: headmill.EvServers, ListFailed: true})
+	c.d.toModule(headmill.Event{Kind: headmill.EvNodes, ListUnavailable: true})
 }
 
 // Connected asks for the list.
@@ -91,7 +91,7 @@
 // sweep closes a stream that has gone silent: the service sends a comment from time to time.
 func (c *listClient) sweep() {
 	if c.c != nil && c.d.l.Now()-c.heard > c.d.cfg.List.SilentMs {
-		c.c.Close(loop.ErrIdle)
+		c.c.Close(loop.ErrClosedByOwner)
 		c.heard = c.d.l.Now()
 	}
 }
@@ -122,22 +122,22 @@
 		d.log.Error("box list can't be read; the last one stays in force", "error", err.Error())
 		return
 	}
-	msg := fleet.Message{Epoch: m.Epoch, Version: m.Version, Full: m.Full}
+	msg := discovery.Message{Epoch: m.Epoch, Version: m.Version, Full: m.Full}
 	for _, e := range m.Servers {
-		msg.Entries = append(msg.Entries, fleet.Entry{Addr: e.Addr, State: e.State, Boot: e.Boot, UpMs: e.UpMs,
+		msg.Entries = append(msg.Entries, discovery.Entry{Addr: e.Addr, State: e.State, BootID: e.Boot, UptimeMs: e.UpMs,
 			Cell: e.Cell, Kind: e.Kind, Zone: e.Zone, Weight: e.Weight})
 	}
-	ev, verdict, err := d.fleet.Take(d.l.Now(), &msg)
+	ev, verdict, err := d.fleet.Apply(d.l.Now(), &msg)
 	switch verdict {
-	case fleet.Taken:
+	case discovery.Accepted:
 		c.tries = 0
 		d.stats.Lists++
 		d.toModule(ev)
-		d.gate.Step(d.l.Now(), []limits.Event{{Kind: limits.Rooms, Room: d.sizes.Rooms(d.fleet.Servers())}}, nil)
-	case fleet.Gap: // a stream begun anew opens with the whole list
+		d.gate.Step(d.l.Now(), []limits.Event{{Kind: limits.CapacityChanged, Capacity: d.sizes.Rooms(d.fleet.Nodes())}}, nil)
+	case discovery.Gap: // a stream begun anew opens with the whole list
 		d.log.Warn("box list has a gap; asking for the whole", "version", m.Version, "have", d.fleet.Version())
-		c.c.Close(loop.ErrIdle)
-	case fleet.Bad:
+		c.c.Close(loop.ErrClosedByOwner)
+	case discovery.Invalid:
 		d.log.Error("box list is not usable; the last one stays in force", "error", err.Error())
 	}
 }
--- a/internal/director/metrics.go
+++ b/internal/director/metrics.go
@@ -82,20 +82,20 @@
 	for state, name := range map[sessionState]string{asked: "asked", plays: "plays", finished: "finished"} {
 		gauge(descSessions, float64(states[state]), name)
 	}
-	for _, p := range limits.Purposes() {
-		a := d.accounts.Of(p)
+	for _, p := range limits.Resources() {
+		a := d.accounts.Usage(p)
 		gauge(descMemory, float64(a.Used), p.String())
-		gauge(descCap, float64(a.Cap), p.String())
+		gauge(descCap, float64(a.Limit), p.String())
 		count(descDenied, a.Denied, p.String())
 	}
-	gauge(descSeverity, d.gate.Severity())
+	gauge(descSeverity, d.gate.Load())
 	gauge(descWeight, float64(d.gate.Weight()))
 	gauge(descBoxes, float64(d.fleet.Len()))
-	for name, part := range d.gate.Held() {
+	for name, part := range d.gate.TenantUsage() {
 		gauge(descHeld, part, name)
 	}
 	for _, f := range d.views.q.Findings() {
-		gauge(descFinding, 1, f.Dim.String(), d.views.names[f.Key])
+		gauge(descFinding, 1, f.Dim.String(), d.views.names[f.GroupKey])
 	}
 	if d.History != nil {
 		written, dropped := d.History.Counts()
--- a/internal/director/notes.go
+++ b/internal/director/notes.go
@@ -7,7 +7,7 @@
 	"strconv"
 
 	"headmill"
-	"headmill/decide/boxes"
+	"headmill/decide/health"
 	"headmill/internal/http1"
 	"headmill/internal/loop"
 	"headmill/internal/orca"
@@ -30,7 +30,7 @@
 	n.ev.Max = b.d.cfg.Limits.EventBytes
 	c, err := b.d.l.Dial(b.addr, n)
 	if err != nil {
-		b.d.watchIn = append(b.d.watchIn, boxes.Event{Kind: boxes.Broke, Box: boxes.Box(b.id)})
+		b.d.watchIn = append(b.d.watchIn, health.Event{Kind: health.StreamFailed, Node: health.NodeID(b.id)})
 		return
 	}
 	n.c, b.notes = c, n
@@ -41,7 +41,7 @@
 	if n := b.notes; n != nil {
 		b.notes = nil
 		n.shut = true
-		n.c.Close(loop.ErrIdle)
+		n.c.Close(loop.ErrClosedByOwner)
 	}
 }
 
@@ -69,7 +69,7 @@
 		n.c.Close(errAnswer)
 		return
 	}
-	n.b.d.watchIn = append(n.b.d.watchIn, boxes.Event{Kind: boxes.Heard, Box: boxes.Box(n.b.id)})
+	n.b.d.watchIn = append(n.b.d.watchIn, health.Event{Kind: health.StreamActivity, Node: health.NodeID(n.b.id)})
 }
 
 // Closed tells decide/boxes, but for a stream that was shut on its word.
@@ -79,8 +79,8 @@
 		return
 	}
 	n.b.notes = nil
-	n.b.d.watchIn = append(n.b.d.watchIn, boxes.Event{Kind: boxes.Broke, Box: boxes.Box(n.b.id),
-		Refused: loop.Refused(err)})
+	n.b.d.watchIn = append(n.b.d.watchIn, health.Event{Kind: health.StreamFailed, Node: health.NodeID(n.b.id),
+		ConnRefused: loop.IsConnRefused(err)})
 }
 
 type note struct {
@@ -92,8 +92,8 @@
 	Sessions []string `json:"sessions"`
 }
 
-var noteKinds = map[string]headmill.NoteKind{"share": headmill.NoteShare, "link": headmill.NoteLink,
-	"uplink": headmill.NoteUplink, "rung": headmill.NoteRung}
+var noteKinds = map[string]headmill.FeedbackKind{"share": headmill.FeedbackRateShare, "link": headmill.FeedbackLinkLoad,
+	"uplink": headmill.FeedbackUplinkLoad, "rung": headmill.FeedbackRung}
 
 // event hands one note on. Notes that can't be read are logged and passed over: they are news, not answers.
 func (n *notes) event(kind, data []byte) {
@@ -126,21 +126,21 @@
 	}
 	if s == nil || s.server != b.id || s.state != plays {
 		id = 0
-		if sort == headmill.NoteRung {
+		if sort == headmill.FeedbackRung {
 			return
 		}
 	}
-	d.toModule(headmill.Event{Kind: headmill.EvNote, Session: headmill.SessionID(id), Server: b.id, Note: sort,
+	d.toModule(headmill.Event{Kind: headmill.EvFeedback, Session: headmill.SessionID(id), Node: b.id, Feedback: sort,
 		Value: m.Value})
 }
 
 // hello sets the box's list of this director's sessions against the table; those of an earlier run are ended.
 func (n *notes) hello(m *note) {
 	b, d := n.b, n.b.d
-	ev := boxes.Event{Kind: boxes.Hello, Box: boxes.Box(b.id), Boot: m.Boot}
+	ev := health.Event{Kind: health.StreamOpened, Node: health.NodeID(b.id), BootID: m.Boot}
 	for _, name := range m.Sessions {
 		if id, ok := d.parseName(name); ok {
-			ev.Sessions = append(ev.Sessions, boxes.Session(id))
+			ev.Sessions = append(ev.Sessions, health.SessionID(id))
 		} else {
 			d.stats.Orphans++
 			b.command("DELETE", "/sessions/"+url.PathEscape(name), "", nil)
@@ -190,7 +190,7 @@
 			}
 		}
 	}
-	if len(q.queue) >= b.d.cfg.Limits.CommandsABox {
+	if len(q.queue) >= b.d.cfg.Limits.CommandsPerNode {
 		b.d.log.Warn("command to a box dropped: limits.commands_a_box is reached", "box", b.addr, "path", path)
 		if done != nil {
 			done(false)
@@ -221,7 +221,7 @@
 		if q.u != nil {
 			u := q.u
 			q.u, u.use = nil, nil
-			u.c.Close(loop.ErrIdle)
+			u.c.Close(loop.ErrClosedByOwner)
 		}
 		q.finish(false)
 	})
--- a/internal/director/operator.go
+++ b/internal/director/operator.go
@@ -57,7 +57,7 @@
 
 // Quality answers with this director's part.
 func (o *operator) Quality(ctx context.Context, r *pb.QualityRequest) (*pb.QualityReply, error) {
-	dim, ok := quality.DimOf(r.Dimension)
+	dim, ok := quality.ParseDimension(r.Dimension)
 	if !ok {
 		return nil, status.Errorf(codes.InvalidArgument, "dimension %q is not rack, box, title, class, brand or family", r.Dimension)
 	}
@@ -76,7 +76,7 @@
 		}
 		slices.SortFunc(out.Groups, func(a, b *pb.Group) int { return cmp.Compare(a.Name, b.Name) })
 		for _, f := range d.views.q.Findings() {
-			out.Findings = append(out.Findings, &pb.Finding{Dimension: f.Dim.String(), Name: d.views.names[f.Key], Evidence: f.String(),
+			out.Findings = append(out.Findings, &pb.Finding{Dimension: f.Dim.String(), Name: d.views.names[f.GroupKey], Evidence: f.String(),
 				SinceMs: now - f.Since, Load: f.Load, Sessions: int64(f.Sessions), Short: int64(f.Short)})
 		}
 		for v, n := range d.views.q.Counts() {
@@ -108,8 +108,8 @@
 		spans, partly, skew, _ := d.views.q.Timeline(uint64(id))
 		out.Partly, out.SkewMs = partly, skew
 		for _, x := range spans {
-			out.Spans = append(out.Spans, &pb.Span{AgoMs: d.l.Now() - x.From, Rack: d.views.names[quality.Key{Dim: quality.Rack, ID: x.Rack}],
-				Box: d.views.names[quality.Key{Dim: quality.Box, ID: x.Box}], Rung: int32(x.Rung), Kb: x.KB})
+			out.Spans = append(out.Spans, &pb.Span{AgoMs: d.l.Now() - x.From, Rack: d.views.names[quality.GroupKey{Dim: quality.ByRack, ID: x.Rack}],
+				Box: d.views.names[quality.GroupKey{Dim: quality.ByNode, ID: x.Node}], Rung: int32(x.Rung), Kb: x.RateKB})
 		}
 		return out, nil
 	})
--- a/internal/director/path.go
+++ b/internal/director/path.go
@@ -7,9 +7,9 @@
 
 	"headmill"
 	"headmill/decide/attempt"
-	"headmill/decide/boxes"
+	"headmill/decide/health"
+	"headmill/decide/idempotency"
 	"headmill/decide/limits"
-	"headmill/decide/once"
 	"headmill/decide/quality"
 	"headmill/internal/dash"
 	"headmill/internal/orca"
@@ -27,13 +27,13 @@
 
 // session is one entry of the session table, from Begin to Forget.
 type session struct {
-	id       once.Session
+	id       idempotency.SessionID
 	claims   claims
 	title    *title
 	state    sessionState
 	rung     int // the module's last word
 	sent     int // what the box was last told
-	server   headmill.ServerID
+	server   headmill.NodeID
 	base     string // URL of its media at the box
 	setup    *setup // the attempt that is out, or is listened to after it was given up
 	attempts int
@@ -41,10 +41,10 @@
 	deadline float64
 	played   float64
 	last     attempt.Outcome
-	holders  []*socket    // connections that hold or watch it
-	report   string       // the player's last report
-	meter    limits.Meter // of reports that come by POST
-	story    *trace.Story // where it is sampled
+	holders  []*socket          // connections that hold or watch it
+	report   string             // the player's last report
+	meter    limits.RateLimiter // of reports that come by POST
+	story    *trace.Story       // where it is sampled
 }
 
 // claims is the part of a token that a session keeps.
@@ -94,40 +94,40 @@
 func (d *Director) toModule(ev headmill.Event) { d.moduleIn = append(d.moduleIn, ev) }
 
 // fromLedger carries out what decide/once says.
-func (d *Director) fromLedger(a once.Action) {
+func (d *Director) fromLedger(a idempotency.Action) {
 	s := d.sessions[a.Session]
 	switch a.Kind {
-	case once.Begin:
+	case idempotency.StartSetup:
 		d.begin(a)
-	case once.Play:
-		if o := d.waiters[a.Waiter]; o != nil && s != nil {
+	case idempotency.AnswerPlaying:
+		if o := d.waiters[a.Request]; o != nil && s != nil {
 			d.settle(o, result{verdict: isPlaying, s: s, status: 200})
 		}
-	case once.Refuse:
-		if o := d.waiters[a.Waiter]; o != nil {
+	case idempotency.AnswerRefused:
+		if o := d.waiters[a.Request]; o != nil {
 			d.refused(o, a)
 		}
-	case once.Fail:
-		if o := d.waiters[a.Waiter]; o != nil {
+	case idempotency.AnswerFailed:
+		if o := d.waiters[a.Request]; o != nil {
 			d.failed(o, a)
 		}
-	case once.Elsewhere:
-		if o := d.waiters[a.Waiter]; o != nil {
-			d.settle(o, result{verdict: isElsewhere, status: 307, home: a.Home})
+	case idempotency.Redirect:
+		if o := d.waiters[a.Request]; o != nil {
+			d.settle(o, result{verdict: isElsewhere, status: 307, home: a.Owner})
 		}
-	case once.Withdraw:
+	case idempotency.AbandonSetup:
 		if s != nil {
-			d.toModule(headmill.Event{Kind: headmill.EvGone, Session: headmill.SessionID(s.id)})
+			d.toModule(headmill.Event{Kind: headmill.EvViewerLeft, Session: headmill.SessionID(s.id)})
 		}
-	case once.Adopt:
+	case idempotency.AdoptSession:
 		if s != nil {
 			d.adopt(s)
 		}
-	case once.End:
+	case idempotency.EndSession:
 		if s != nil {
 			d.endAtBox(s)
 		}
-	case once.Forget:
+	case idempotency.ForgetSession:
 		if s != nil {
 			d.forget(s)
 		}
@@ -135,21 +135,21 @@
 }
 
 // begin makes the module's request out of the viewer's.
-func (d *Director) begin(a once.Action) {
-	v := d.waiters[a.Waiter]
+func (d *Director) begin(a idempotency.Action) {
+	v := d.waiters[a.Request]
 	if v == nil { // it closed in the same round; the ledger hears of it after this
-		d.ledgerIn = append(d.ledgerIn, once.Event{Kind: once.Refused, Session: a.Session})
+		d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.SetupRefused, Session: a.Session})
 		return
 	}
 	now := d.l.Now()
 	k := &d.cfg.Classes[v.title.class]
-	left := math.Max(k.GiveUpMs-d.cfg.Times.MarginMs, 1)
-	s := &session{id: a.Session, claims: v.claims, title: v.title, asked: now, deadline: now + left, rung: k.Floor}
+	left := math.Max(k.GiveUpMs-d.cfg.Times.AnswerMarginMs, 1)
+	s := &session{id: a.Session, claims: v.claims, title: v.title, asked: now, deadline: now + left, rung: k.MinRung}
 	d.sessions[s.id] = s
-	d.accounts.Take(limits.Sessions, 1)
+	d.accounts.Acquire(limits.Sessions, 1)
 	d.toModule(headmill.Event{Kind: headmill.EvRequest, Session: headmill.SessionID(s.id), Class: v.title.class,
-		Title: v.title.number, RemainingMs: left, HintMs: v.title.DurationMs, Home: v.title.Home,
-		Copies: v.title.Copies, TopRung: v.claims.top, Spare: v.claims.spare})
+		Title: v.title.number, TimeLeftMs: left, DurationHintMs: v.title.DurationMs, FirstCell: v.title.FirstCell,
+		Copies: v.title.Copies, MaxRung: v.claims.top, Headroom: v.claims.spare})
 	d.holds(s)
 	s.story = d.Trace.Begin(s.claims.id, attribute.String("title", s.title.Name), attribute.String("class", s.title.Class),
 		attribute.String("brand", s.claims.brand), attribute.Bool("again", s.claims.repeated))
@@ -157,13 +157,13 @@
 
 // fromModule carries out what the module says; every kind of action is here.
 func (d *Director) fromModule(a *headmill.Action) {
-	s := d.sessions[once.Session(a.Session)]
+	s := d.sessions[idempotency.SessionID(a.Session)]
 	switch a.Kind {
-	case headmill.ActSend:
+	case headmill.ActSetup:
 		if s != nil {
-			d.send(s, a.Server, a.AtMs)
+			d.send(s, a.Node, a.AtMs)
 		}
-	case headmill.ActRung:
+	case headmill.ActSetRung:
 		if s != nil {
 			s.rung = a.Rung
 			if s.state == plays {
@@ -177,24 +177,24 @@
 		}
 	case headmill.ActRefuse:
 		if s != nil {
-			d.ledgerIn = append(d.ledgerIn, once.Event{Kind: once.Refused, Session: s.id, RetryMs: d.advice(s, a.RetryMs)})
+			d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.SetupRefused, Session: s.id, RetryAfterMs: d.advice(s, a.RetryAfterMs)})
 			d.holdsNone(s)
 			s.story.End("refused")
 		}
 	case headmill.ActFail:
 		if s != nil {
-			why := once.ReasonBox
-			if s.last == attempt.TimedOut {
-				why = once.ReasonTime
+			why := idempotency.ReasonNodeFailed
+			if s.last == attempt.OutcomeTimedOut {
+				why = idempotency.ReasonTimeout
 			}
-			d.ledgerIn = append(d.ledgerIn, once.Event{Kind: once.Failed, Session: s.id, Why: why})
+			d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.SetupFailed, Session: s.id, Reason: why})
 			d.holdsNone(s)
 			s.story.End("failed: " + why.String())
 		}
 	case headmill.ActTimer:
 		name := a.Timer
 		d.l.At(a.AtMs, func() { d.toModule(headmill.Event{Kind: headmill.EvTimer, Timer: name}) })
-	case headmill.ActWatch:
+	case headmill.ActSubscribe:
 		d.list.again()
 	case headmill.ActLog:
 		d.log.Warn(a.Text)
@@ -202,32 +202,32 @@
 }
 
 // fromWatch carries out what decide/boxes says.
-func (d *Director) fromWatch(a boxes.Action) {
-	b := d.box(headmill.ServerID(a.Box))
+func (d *Director) fromWatch(a health.Action) {
+	b := d.box(headmill.NodeID(a.Node))
 	switch a.Kind {
-	case boxes.Open:
+	case health.OpenStream:
 		b.openNotes()
-	case boxes.Shut:
+	case health.CloseStream:
 		b.shutNotes()
-	case boxes.Down:
+	case health.NodeDown:
 		b.cmds.drop()
 		d.log.Warn("box is not heard; its sessions are given up", "box", b.addr, "sessions", a.Count)
-	case boxes.Lose:
-		if s := d.sessions[once.Session(a.Session)]; s != nil && s.state == plays && s.server == b.id {
+	case health.SessionLost:
+		if s := d.sessions[idempotency.SessionID(a.Session)]; s != nil && s.state == plays && s.server == b.id {
 			d.stats.Lost++
 			d.over(s, headmill.Reset, orca.Load{}, "lost")
 		}
-	case boxes.Orphan:
-		if s := d.sessions[once.Session(a.Session)]; s == nil || s.state != plays && s.setup == nil {
+	case health.EndOrphan:
+		if s := d.sessions[idempotency.SessionID(a.Session)]; s == nil || s.state != plays && s.setup == nil {
 			d.stats.Orphans++
-			b.command("DELETE", "/sessions/"+d.name(&session{id: once.Session(a.Session)}), "", nil)
+			b.command("DELETE", "/sessions/"+d.name(&session{id: idempotency.SessionID(a.Session)}), "", nil)
 		}
 	}
 }
 
 // report is a load report as the module takes it.
 func report(l orca.Load) headmill.Report {
-	return headmill.Report{Told: l.Told, Streams: l.Streams, Link: l.X0, Uplink: l.X1}
+	return headmill.Report{Present: l.Present, Streams: l.Streams, Link: l.X0, Uplink: l.X1}
 }
 
 // over ends a session that played: the box's word, its loss, or this director's end.
@@ -238,10 +238,10 @@
 	s.state = finished
 	d.holdsNone(s)
 	s.story.End(why)
-	d.toModule(headmill.Event{Kind: headmill.EvSettled, Session: headmill.SessionID(s.id), Server: s.server,
-		Outcome: o, Finished: true, TookMs: d.l.Now() - s.asked, Report: report(load)})
-	d.watchIn = append(d.watchIn, boxes.Event{Kind: boxes.Gone, Box: boxes.Box(s.server), Session: boxes.Session(s.id)})
-	d.ledgerIn = append(d.ledgerIn, once.Event{Kind: once.Ended, Session: s.id})
+	d.toModule(headmill.Event{Kind: headmill.EvAttemptEnded, Session: headmill.SessionID(s.id), Node: s.server,
+		Outcome: o, SessionOver: true, LatencyMs: d.l.Now() - s.asked, Report: report(load)})
+	d.watchIn = append(d.watchIn, health.Event{Kind: health.SessionEnded, Node: health.NodeID(s.server), Session: health.SessionID(s.id)})
+	d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.SessionEnded, Session: s.id})
 	d.viewEnd(s)
 	for _, k := range s.holders {
 		k.ended(s, why)
@@ -257,8 +257,8 @@
 		d.ending++
 		d.box(s.server).command("DELETE", "/sessions/"+d.name(s), "", func(bool) { d.ending-- })
 		if s.state != plays {
-			d.watchIn = append(d.watchIn, boxes.Event{Kind: boxes.Gone, Box: boxes.Box(s.server),
-				Session: boxes.Session(s.id)})
+			d.watchIn = append(d.watchIn, health.Event{Kind: health.SessionEnded, Node: health.NodeID(s.server),
+				Session: health.SessionID(s.id)})
 		}
 	}
 	d.over(s, headmill.Cancelled, orca.Load{}, "ended here")
@@ -271,14 +271,14 @@
 	d.holds(s)
 	d.gate.Step(now, []limits.Event{d.placed(s)}, nil)
 	k := headmill.SessionID(s.id)
-	d.toModule(headmill.Event{Kind: headmill.EvExisting, Session: k, Server: s.server, Class: s.title.class,
-		Title: s.title.number, Home: s.title.Home, Copies: s.title.Copies, TopRung: s.claims.top,
-		HintMs: s.title.DurationMs})
-	d.toModule(headmill.Event{Kind: headmill.EvNote, Session: k, Server: s.server, Note: headmill.NoteRung,
+	d.toModule(headmill.Event{Kind: headmill.EvExistingSession, Session: k, Node: s.server, Class: s.title.class,
+		Title: s.title.number, FirstCell: s.title.FirstCell, Copies: s.title.Copies, MaxRung: s.claims.top,
+		DurationHintMs: s.title.DurationMs})
+	d.toModule(headmill.Event{Kind: headmill.EvFeedback, Session: k, Node: s.server, Feedback: headmill.FeedbackRung,
 		Value: float64(s.sent)})
 	s.rung = s.sent
-	d.viewed(s, quality.Adopt)
-	d.watchIn = append(d.watchIn, boxes.Event{Kind: boxes.Placed, Box: boxes.Box(s.server), Session: boxes.Session(s.id)})
+	d.viewed(s, quality.SessionAdopted)
+	d.watchIn = append(d.watchIn, health.Event{Kind: health.SessionStarted, Node: health.NodeID(s.server), Session: health.SessionID(s.id)})
 }
 
 func (d *Director) forget(s *session) {
@@ -288,27 +288,27 @@
 	delete(d.sessions, s.id)
 	d.holdsNone(s)
 	s.story.End("forgotten")
-	d.accounts.Give(limits.Sessions, 1)
-	d.accounts.Give(limits.Reports, int64(len(s.report)))
+	d.accounts.Release(limits.Sessions, 1)
+	d.accounts.Release(limits.Reports, int64(len(s.report)))
 }
 
 // advice is when a refused viewer should come again: the gate spreads returns. Where no advice is allowed, the
 // module gave none and neither does this.
 func (d *Director) advice(s *session, module float64) float64 {
-	a := d.gate.Step(d.l.Now(), []limits.Event{{Kind: limits.NoRoom, ID: uint64(s.id), Wish: s.claims.wish,
-		Title: s.title.number, Brand: s.claims.brandNo, Class: s.title.class}}, nil)
+	a := d.gate.Step(d.l.Now(), []limits.Event{{Kind: limits.PlacementRefused, ID: uint64(s.id), RequestKey: s.claims.wish,
+		Title: s.title.number, Tenant: s.claims.brandNo, Class: s.title.class}}, nil)
 	if module <= 0 {
 		return 0
 	}
-	return a[0].RetryMs
+	return a[0].RetryAfterMs
 }
 
 // manifest writes the session's MPD: representations from the class's floor to the rung in force.
 func (d *Director) manifest(b []byte, s *session, raw string) []byte {
 	k := &d.cfg.Classes[s.title.class]
 	m := dash.Manifest{Base: s.base, Token: raw, DurationMs: s.title.DurationMs, SegmentMs: d.cfg.Ladder.SegmentMs}
-	for r := k.Floor; r <= max(s.rung, k.Floor); r++ {
-		rep := dash.Representation{ID: rungName(r), KBps: d.cfg.Ladder.RateKB[r] * k.Scale}
+	for r := k.MinRung; r <= max(s.rung, k.MinRung); r++ {
+		rep := dash.Representation{ID: rungName(r), KBps: d.cfg.Ladder.RateKB[r] * k.RateScale}
 		if len(d.cfg.Ladder.Width) > 0 {
 			rep.Width = d.cfg.Ladder.Width[r]
 		}
--- a/internal/director/quality.go
+++ b/internal/director/quality.go
@@ -17,9 +17,9 @@
 
 // views is what the director keeps for decide/quality: numbers of boxes and names of groups.
 type views struct {
-	q       *quality.Quality
+	q       *quality.Tracker
 	in      []quality.Event
-	names   map[quality.Key]string
+	names   map[quality.GroupKey]string
 	told    float64 // when findings were last told to the module
 	unknown uint64  // keys of reports that were passed over
 	bad     map[string]uint64
@@ -31,16 +31,16 @@
 
 func (d *Director) setViews() {
 	c := &d.cfg.Quality
-	d.views = views{names: map[quality.Key]string{}, bad: map[string]uint64{}, q: quality.New(quality.Config{WindowMs: c.WindowMs,
-		LateMs: c.LateMs, SkewMs: c.SkewMs, KeepMs: c.KeepMs, MaxSpans: 64, MaxSeen: 64, MaxGroups: c.Groups, MaxBytes: int64(d.cfg.Limits.Timelines),
-		RungWorth: d.cfg.Ladder.Worth, SwitchCost: c.SwitchCost, StallCost: c.StallCost, StartCost: c.StartCost,
-		ShortUnder: c.ShortUnder, LookMs: c.LookMs, ConfirmMs: c.ConfirmMs, MinSessions: c.MinSessions, MinScore: c.MinScore})}
+	d.views = views{names: map[quality.GroupKey]string{}, bad: map[string]uint64{}, q: quality.New(quality.Config{WindowMs: c.WindowMs,
+		AllowedLatenessMs: c.LateMs, MaxClockSkewMs: c.SkewMs, SessionRetentionMs: c.KeepMs, MaxSpans: 64, DedupWindow: 64, MaxGroups: c.Groups, MaxBytes: int64(d.cfg.Limits.Timelines),
+		RungWorth: d.cfg.Ladder.Worth, SwitchCost: c.SwitchCost, StallCost: c.StallCost, StartupCost: c.StartCost,
+		ShortfallBelow: c.ShortUnder, DetectIntervalMs: c.LookMs, ConfirmMs: c.ConfirmMs, MinSessions: c.MinSessions, MinScore: c.MinScore})}
 }
 
 // name remembers what a group's number stands for.
-func (d *Director) group(dim quality.Dim, name string) uint64 {
+func (d *Director) group(dim quality.Dimension, name string) uint64 {
 	id := xxhash.Sum64String(name)
-	k := quality.Key{Dim: dim, ID: id}
+	k := quality.GroupKey{Dim: dim, ID: id}
 	if _, ok := d.views.names[k]; !ok && len(d.views.names) < 8*d.cfg.Quality.Groups {
 		d.views.names[k] = name
 	}
@@ -49,28 +49,28 @@
 
 func (d *Director) placeOf(s *session) quality.Place {
 	addr := d.fleet.Addr(s.server)
-	return quality.Place{Rack: d.group(quality.Rack, strconv.Itoa(d.fleet.Cell(s.server)%d.cfg.Fleet.Racks)),
-		Box: d.group(quality.Box, addr), Rung: s.rung, KB: d.cfg.Ladder.RateKB[s.rung] * d.cfg.Classes[s.title.class].Scale}
+	return quality.Place{Rack: d.group(quality.ByRack, strconv.Itoa(d.fleet.Cell(s.server)%d.cfg.Fleet.Racks)),
+		Node: d.group(quality.ByNode, addr), Rung: s.rung, RateKB: d.cfg.Ladder.RateKB[s.rung] * d.cfg.Classes[s.title.class].RateScale}
 }
 
 // viewed tells decide/quality that a session plays, with its start-up time where this director knows it.
 func (d *Director) viewed(s *session, kind quality.EventKind) {
 	d.views.in = append(d.views.in, quality.Event{Kind: kind, Session: uint64(s.id), At: d.l.Now(), Place: d.placeOf(s),
-		Title: d.group(quality.Title, s.title.Name), Class: d.group(quality.Class, s.title.Class),
-		Brand: d.group(quality.Brand, s.claims.brand), Family: d.group(quality.Family, s.claims.family), StartMs: d.l.Now() - s.asked})
+		Title: d.group(quality.ByTitle, s.title.Name), Class: d.group(quality.ByClass, s.title.Class),
+		Tenant: d.group(quality.ByTenant, s.claims.brand), Family: d.group(quality.ByPlayerFamily, s.claims.family), StartupMs: d.l.Now() - s.asked})
 }
 
 func (d *Director) viewRung(s *session) {
-	d.views.in = append(d.views.in, quality.Event{Kind: quality.Rung, Session: uint64(s.id), At: d.l.Now(), Place: d.placeOf(s)})
+	d.views.in = append(d.views.in, quality.Event{Kind: quality.RungChanged, Session: uint64(s.id), At: d.l.Now(), Place: d.placeOf(s)})
 }
 
 func (d *Director) viewEnd(s *session) {
-	d.views.in = append(d.views.in, quality.Event{Kind: quality.Ended, Session: uint64(s.id), At: d.l.Now()})
+	d.views.in = append(d.views.in, quality.Event{Kind: quality.SessionEnded, Session: uint64(s.id), At: d.l.Now()})
 }
 
 // seen takes one report of a player. box is the box that handed it on; 0: it came straight. ago is how long the
 // box had it, ms.
-func (d *Director) seen(s *session, text string, box headmill.ServerID, ago float64) {
+func (d *Director) seen(s *session, text string, box headmill.NodeID, ago float64) {
 	r := cmcd.Parse(text)
 	d.views.unknown += uint64(len(r.Unknown))
 	for _, k := range r.Bad {
@@ -78,17 +78,17 @@
 			d.views.bad[k]++
 		}
 	}
-	ev := quality.Seen{At: r.At, Arrived: d.l.Now() - math.Max(ago, 0), Number: r.Number, GotKB: r.Throughput / 8, Starved: r.Starved,
+	ev := quality.PlayerReport{At: r.At, ArrivedAt: d.l.Now() - math.Max(ago, 0), Sequence: r.Number, ReceivedKB: r.Throughput / 8, BufferEmpty: r.Starved,
 		Rung: -1}
 	if r.Starve > 0 {
 		ev.StallMs = r.Starve
 	}
 	if r.Bitrate > 0 {
-		ev.Rung, ev.NeedKB = d.rungOf(s, r.Bitrate), r.Bitrate/8
+		ev.Rung, ev.RequiredKB = d.rungOf(s, r.Bitrate), r.Bitrate/8
 	}
 	if s.story != nil {
 		told := []attribute.KeyValue{attribute.Float64("stall_ms", ev.StallMs), attribute.Bool("starved", r.Starved)}
-		for name, v := range map[string]float64{"got_kb": ev.GotKB, "need_kb": ev.NeedKB, "buffer_ms": r.Buffer} {
+		for name, v := range map[string]float64{"got_kb": ev.ReceivedKB, "need_kb": ev.RequiredKB, "buffer_ms": r.Buffer} {
 			if !math.IsNaN(v) { // not told
 				told = append(told, attribute.Float64(name, v))
 			}
@@ -96,16 +96,16 @@
 		s.story.Note("report", told...)
 	}
 	if box != 0 {
-		ev.Box = d.group(quality.Box, d.fleet.Addr(box))
+		ev.Node = d.group(quality.ByNode, d.fleet.Addr(box))
 	}
-	d.views.in = append(d.views.in, quality.Event{Kind: quality.Report, Session: uint64(s.id), Seen: ev})
+	d.views.in = append(d.views.in, quality.Event{Kind: quality.ReportReceived, Session: uint64(s.id), Report: ev})
 }
 
 // rungOf is the rung whose rate is nearest to a bitrate in kbit/s.
 func (d *Director) rungOf(s *session, kbits float64) int {
 	best, least := 0, math.Inf(1)
 	for i, kb := range d.cfg.Ladder.RateKB {
-		if diff := math.Abs(kb*d.cfg.Classes[s.title.class].Scale*8 - kbits); diff < least {
+		if diff := math.Abs(kb*d.cfg.Classes[s.title.class].RateScale*8 - kbits); diff < least {
 			best, least = i, diff
 		}
 	}
@@ -118,8 +118,8 @@
 		if s.story == nil || s.state != plays {
 			continue
 		}
-		if p := d.placeOf(s); f.Dim == quality.Rack && p.Rack == f.ID || f.Dim == quality.Box && p.Box == f.ID {
-			s.story.Note("finding", attribute.String(f.Dim.String(), d.views.names[f.Key]), attribute.Bool("over", f.Over),
+		if p := d.placeOf(s); f.Dim == quality.ByRack && p.Rack == f.ID || f.Dim == quality.ByNode && p.Node == f.ID {
+			s.story.Note("finding", attribute.String(f.Dim.String(), d.views.names[f.GroupKey]), attribute.Bool("over", f.Ended),
 				attribute.Float64("load", f.Load))
 		}
 	}
@@ -136,7 +136,7 @@
 	from, name := d.unix(w.From), d.cfg.Director.Name
 	to := from + int64(d.cfg.Quality.WindowMs)
 	rows := make([]history.Row, 0, len(w.Groups)+1)
-	rows = append(rows, history.Of(from, to, name, "whole", "", &w.Whole))
+	rows = append(rows, history.Of(from, to, name, "whole", "", &w.Total))
 	for k, g := range w.Groups {
 		rows = append(rows, history.Of(from, to, name, k.Dim.String(), d.views.names[k], g))
 	}
@@ -148,7 +148,7 @@
 func (d *Director) keepFinding(f quality.Finding) {
 	if d.History != nil {
 		d.History.Put([]history.Row{{FromMs: d.unix(f.Since), ToMs: max(d.unix(f.At), d.unix(f.Since)+1), Director: d.cfg.Director.Name,
-			Dim: f.Dim.String(), Name: d.views.names[f.Key], Finding: true, Evidence: f.String()}})
+			Dim: f.Dim.String(), Name: d.views.names[f.GroupKey], Finding: true, Evidence: f.String()}})
 	}
 }
 
@@ -166,7 +166,7 @@
 	for _, r := range list {
 		id, mine := d.parseName(r.Session)
 		s := d.sessions[id]
-		if !mine || s == nil || !d.accounts.Room(limits.Reports, int64(len(r.CMCD))) {
+		if !mine || s == nil || !d.accounts.Fits(limits.Reports, int64(len(r.CMCD))) {
 			d.stats.ReportsDropped++
 			continue
 		}
@@ -184,10 +184,10 @@
 		f := f
 		d.keepFinding(f)
 		d.tellStories(f)
-		d.log.Warn("quality: "+f.String(), "group", f.Dim.String(), "name", d.views.names[f.Key], "over", f.Over, "load", f.Load)
+		d.log.Warn("quality: "+f.String(), "group", f.Dim.String(), "name", d.views.names[f.GroupKey], "over", f.Ended, "load", f.Load)
 	}
 	d.views.in = in[:0]
-	for _, w := range d.views.q.Closed() {
+	for _, w := range d.views.q.TakeClosed() {
 		d.keep(w)
 		d.views.windows = append(d.views.windows, w)
 		if len(d.views.windows) > keepWindows {
@@ -202,18 +202,18 @@
 		if now-f.At > 2*d.cfg.Quality.LookMs { // it is fading: nothing new was seen
 			continue
 		}
-		note := headmill.NoteLink
-		if f.Dim == quality.Rack {
-			note = headmill.NoteUplink
-		} else if f.Dim != quality.Box {
+		note := headmill.FeedbackLinkLoad
+		if f.Dim == quality.ByRack {
+			note = headmill.FeedbackUplinkLoad
+		} else if f.Dim != quality.ByNode {
 			continue // a title or a family of players: no server is at fault
 		}
 		for _, s := range d.sessions { // any session there names a box of the group; all of them tell of one load
 			p := d.placeOf(s)
-			if s.state != plays || f.Dim == quality.Rack && p.Rack != f.ID || f.Dim == quality.Box && p.Box != f.ID {
+			if s.state != plays || f.Dim == quality.ByRack && p.Rack != f.ID || f.Dim == quality.ByNode && p.Node != f.ID {
 				continue
 			}
-			d.toModule(headmill.Event{Kind: headmill.EvNote, Session: headmill.SessionID(s.id), Server: s.server, Note: note,
+			d.toModule(headmill.Event{Kind: headmill.EvFeedback, Session: headmill.SessionID(s.id), Node: s.server, Feedback: note,
 				Value: f.Load})
 			break
 		}
--- a/internal/director/setup.go
+++ b/internal/director/setup.go
@@ -11,9 +11,9 @@
 
 	"headmill"
 	"headmill/decide/attempt"
-	"headmill/decide/boxes"
+	"headmill/decide/health"
+	"headmill/decide/idempotency"
 	"headmill/decide/limits"
-	"headmill/decide/once"
 	"headmill/decide/quality"
 	"headmill/internal/http1"
 	"headmill/internal/loop"
@@ -35,25 +35,25 @@
 	heeds bool // the connection is kept for a late word
 }
 
-var outcomes = map[attempt.Outcome]headmill.Outcome{attempt.Full: headmill.Full,
-	attempt.NoConnect: headmill.ConnectFailed, attempt.BoxError: headmill.Failed, attempt.Reset: headmill.Reset,
-	attempt.TimedOut: headmill.TimedOut, attempt.GivenUp: headmill.Cancelled}
+var outcomes = map[attempt.Outcome]headmill.Outcome{attempt.OutcomeFull: headmill.Full,
+	attempt.OutcomeConnectFailed: headmill.ConnectFailed, attempt.OutcomeError: headmill.Failed, attempt.OutcomeReset: headmill.Reset,
+	attempt.OutcomeTimedOut: headmill.TimedOut, attempt.OutcomeCancelled: headmill.Cancelled}
 
 // send begins the attempt that the module asked for. allow is its time, ms; 0: until the viewer gives up.
-func (d *Director) send(s *session, server headmill.ServerID, allow float64) {
+func (d *Director) send(s *session, server headmill.NodeID, allow float64) {
 	now := d.l.Now()
 	if allow <= 0 || allow > s.deadline-now {
 		allow = math.Max(s.deadline-now, 0)
 	}
 	t := &setup{d: d, s: s, b: d.box(server), took: now, rung: s.rung}
-	t.a.Paid = d.cfg.Classes[s.title.class].Repeat == "once"
+	t.a.Paid = d.cfg.Classes[s.title.class].Semantics == "once"
 	s.setup, s.server, s.base, s.sent = t, server, "", s.rung
 	s.attempts++
 	d.stats.Attempts++
 	s.story.Attempt(attribute.String("box", t.b.addr), attribute.Int("rung", t.rung), attribute.Int("number", s.attempts),
 		attribute.Float64("allow_ms", ms(allow)))
-	d.watchIn = append(d.watchIn, boxes.Event{Kind: boxes.Expect, Box: boxes.Box(server), Session: boxes.Session(s.id)})
-	t.timer = d.l.After(allow, func() { t.step(attempt.Event{Kind: attempt.Expired}) })
+	d.watchIn = append(d.watchIn, health.Event{Kind: health.SetupSent, Node: health.NodeID(server), Session: health.SessionID(s.id)})
+	t.timer = d.l.After(allow, func() { t.step(attempt.Event{Kind: attempt.DeadlineExceeded}) })
 	u := t.b.rested()
 	if u != nil {
 		t.u = u
@@ -68,30 +68,30 @@
 		switch a.Kind {
 		case attempt.Dial:
 			if !t.b.dial(t) {
-				t.step(attempt.Event{Kind: attempt.Broke})
+				t.step(attempt.Event{Kind: attempt.ConnectionClosed})
 			}
 		case attempt.Write:
 			t.write()
-		case attempt.Settle:
+		case attempt.ReportOutcome:
 			t.settle(a.Outcome)
-		case attempt.Keep:
+		case attempt.KeepConnection:
 			if t.u != nil {
 				t.u.rest()
 			}
 			t.u = nil
-		case attempt.Cut:
+		case attempt.CloseConnection:
 			if t.u != nil {
 				t.u.use = nil
-				t.u.c.Close(loop.ErrIdle)
+				t.u.c.Close(loop.ErrClosedByOwner)
 			}
 			t.u = nil
-		case attempt.TellLate:
+		case attempt.ReportLateSuccess:
 			t.late()
-		case attempt.TellVoid:
-			t.d.ledgerIn = append(t.d.ledgerIn, once.Event{Kind: once.Proven, Session: t.s.id})
+		case attempt.ReportNeverRan:
+			t.d.ledgerIn = append(t.d.ledgerIn, idempotency.Event{Kind: idempotency.ProvenNeverRan, Session: t.s.id})
 		}
 	}
-	if t.a.State() != attempt.Closed || t.s.setup != t {
+	if t.a.State() != attempt.StateClosed || t.s.setup != t {
 		return
 	}
 	t.s.setup = nil
@@ -101,8 +101,8 @@
 }
 
 func (t *setup) gone() {
-	t.d.watchIn = append(t.d.watchIn, boxes.Event{Kind: boxes.Gone, Box: boxes.Box(t.b.id),
-		Session: boxes.Session(t.s.id)})
+	t.d.watchIn = append(t.d.watchIn, health.Event{Kind: health.SessionEnded, Node: health.NodeID(t.b.id),
+		Session: health.SessionID(t.s.id)})
 }
 
 // write sends the set-up: PUT of the session's own resource, so that a box can tell a repeated one.
@@ -121,7 +121,7 @@
 }
 
 func (t *setup) connected(u *upstream) {
-	if t.a.State() != attempt.Waiting { // its time was over before the connection stood
+	if t.a.State() != attempt.StateWaiting { // its time was over before the connection stood
 		u.rest()
 		return
 	}
@@ -131,11 +131,11 @@
 }
 
 func (t *setup) wrote(u *upstream) {
-	t.step(attempt.Event{Kind: attempt.Wrote, Bytes: u.left()})
+	t.step(attempt.Event{Kind: attempt.BytesWritten, Bytes: u.left()})
 }
 
 func (t *setup) head(_ *upstream, status int) {
-	t.step(attempt.Event{Kind: attempt.Head, Status: status})
+	t.step(attempt.Event{Kind: attempt.ResponseHead, Status: status})
 }
 
 // whole reads the box's answer: its load, where the session's media are, and its word that nothing ran.
@@ -154,15 +154,15 @@
 			status = 502 // it says that it plays and not where: it may run, and nobody can see it
 		}
 	}
-	t.step(attempt.Event{Kind: attempt.Whole, Status: status, NeverRan: never})
+	t.step(attempt.Event{Kind: attempt.ResponseComplete, Status: status, NeverRan: never})
 }
 
 func (t *setup) broke(u *upstream, _ error) {
 	if t.u == u && u.left() > 0 { // bytes that left in the very call that failed count as left
-		t.step(attempt.Event{Kind: attempt.Wrote, Bytes: u.left()})
+		t.step(attempt.Event{Kind: attempt.BytesWritten, Bytes: u.left()})
 	}
 	t.u = nil
-	t.step(attempt.Event{Kind: attempt.Broke})
+	t.step(attempt.Event{Kind: attempt.ConnectionClosed})
 }
 
 // settle tells the outcome to the module, and what plays to the ledger.
@@ -171,37 +171,37 @@
 	d.l.Cancel(t.timer)
 	now := d.l.Now()
 	s.last = o
-	s.story.Settle(o.String(), o == attempt.Plays)
+	s.story.Settle(o.String(), o == attempt.OutcomePlaying)
 	k, took := headmill.SessionID(s.id), now-t.took
-	if o == attempt.Plays {
+	if o == attempt.OutcomePlaying {
 		s.state, s.played, s.base, s.setup = plays, now, t.base, nil
 		s.story.Play(attribute.String("box", t.b.addr), attribute.Int("rung", t.rung))
-		d.toModule(headmill.Event{Kind: headmill.EvPlaying, Session: k, Server: t.b.id, TookMs: took})
+		d.toModule(headmill.Event{Kind: headmill.EvAttemptPlaying, Session: k, Node: t.b.id, LatencyMs: took})
 		if t.load.X0 >= 0 {
-			d.toModule(headmill.Event{Kind: headmill.EvNote, Session: k, Server: t.b.id, Note: headmill.NoteLink,
+			d.toModule(headmill.Event{Kind: headmill.EvFeedback, Session: k, Node: t.b.id, Feedback: headmill.FeedbackLinkLoad,
 				Value: t.load.X0})
 		}
 		if t.load.X1 >= 0 {
-			d.toModule(headmill.Event{Kind: headmill.EvNote, Session: k, Server: t.b.id, Note: headmill.NoteUplink,
+			d.toModule(headmill.Event{Kind: headmill.EvFeedback, Session: k, Node: t.b.id, Feedback: headmill.FeedbackUplinkLoad,
 				Value: t.load.X1})
 		}
-		d.watchIn = append(d.watchIn, boxes.Event{Kind: boxes.Placed, Box: boxes.Box(t.b.id), Session: boxes.Session(s.id)})
-		d.ledgerIn = append(d.ledgerIn, once.Event{Kind: once.Plays, Session: s.id})
+		d.watchIn = append(d.watchIn, health.Event{Kind: health.SessionStarted, Node: health.NodeID(t.b.id), Session: health.SessionID(s.id)})
+		d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.SetupSucceeded, Session: s.id})
 		d.gate.Step(now, []limits.Event{d.placed(s)}, nil)
 		if s.rung != t.rung {
 			d.tellRung(s)
 		}
-		d.viewed(s, quality.Begun)
+		d.viewed(s, quality.SessionStarted)
 		return
 	}
-	if t.a.State() == attempt.Listening { // the connection stays for a late word
+	if t.a.State() == attempt.StateAwaitingLate { // the connection stays for a late word
 		t.heeds = true
-		t.timer = d.l.After(d.cfg.Times.LateMs, func() { t.step(attempt.Event{Kind: attempt.LateOver}) })
+		t.timer = d.l.After(d.cfg.Times.LateAnswerMs, func() { t.step(attempt.Event{Kind: attempt.LateWindowOver}) })
 	} else {
 		t.gone()
 	}
-	d.toModule(headmill.Event{Kind: headmill.EvSettled, Session: k, Server: t.b.id, Outcome: outcomes[o],
-		TookMs: took, Report: report(t.load)})
+	d.toModule(headmill.Event{Kind: headmill.EvAttemptEnded, Session: k, Node: t.b.id, Outcome: outcomes[o],
+		LatencyMs: took, Report: report(t.load)})
 }
 
 // late takes the word of a box, after the time-out, that a paid session plays.
@@ -212,5 +212,5 @@
 	s.base, s.server, s.sent, s.setup = t.base, t.b.id, t.rung, nil
 	d.log.Warn("a set-up that had been given up plays", "session", d.name(s), "jti", s.claims.id, "box", t.b.addr,
 		"took_ms", ms(d.l.Now()-t.took))
-	d.ledgerIn = append(d.ledgerIn, once.Event{Kind: once.Late, Session: s.id})
+	d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.LateSuccess, Session: s.id})
 }
--- a/internal/director/socket.go
+++ b/internal/director/socket.go
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
+	"headmill/decide/idempotency"
 	"headmill/decide/limits"
-	"headmill/decide/once"
 	pb "headmill/internal/api/sessionv1"
 	"headmill/internal/http1"
 	"headmill/internal/loop"
@@ -38,7 +38,7 @@
 	pinged bool
 	closed bool // a close frame was sent
 	until  float64
-	meter  limits.Meter // of reports
+	meter  limits.RateLimiter // of reports
 }
 
 // upgrade makes a session API connection of this one (RFC 6455 section 4.2).
@@ -85,7 +85,7 @@
 			return
 		}
 		k := &socket{d: d, c: v.c, json: sub == jsonProtocol, raw: strings.Clone(raw), heard: d.l.Now(),
-			r: ws.Reader{Max: d.cfg.Limits.Message}, meter: limits.Meter{Burst: 4, PerMs: 1 / d.cfg.Times.ReportMs}}
+			r: ws.Reader{Max: d.cfg.Limits.Message}, meter: limits.RateLimiter{Burst: 4, RatePerMs: 1 / d.cfg.Times.ReportMs}}
 		delete(d.viewers, v)
 		d.sockets[k] = struct{}{}
 		v.release()
@@ -129,20 +129,20 @@
 		d.stats.CutSlow++
 	}
 	delete(d.sockets, k)
-	d.accounts.Give(limits.Connections, 1)
+	d.accounts.Release(limits.Connections, 1)
 	for _, o := range k.orders {
 		d.leave(o)
 	}
 	for _, s := range k.held {
 		k.release(s)
-		d.ledgerIn = append(d.ledgerIn, once.Event{Kind: once.Untie, Session: s.id})
+		d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.ConnectionDetached, Session: s.id})
 	}
 	k.orders, k.held = nil, nil
 }
 
 // release takes the connection off a session's holders.
 func (k *socket) release(s *session) {
-	k.d.accounts.Give(limits.Sockets, 1)
+	k.d.accounts.Release(limits.Sockets, 1)
 	for i, o := range s.holders {
 		if o == k {
 			s.holders = append(s.holders[:i], s.holders[i+1:]...)
@@ -159,7 +159,7 @@
 	k.closed = true
 	k.c.Write(ws.AppendClose(nil, code, why))
 	k.until = k.d.l.Now() + k.d.cfg.Times.WriteMs
-	k.c.End()
+	k.c.CloseWrite()
 }
 
 // message takes one whole message.
@@ -264,7 +264,7 @@
 // open wants a session, or takes up the one of its token.
 func (k *socket) open(id uint64, m *pb.Open) {
 	d, l := k.d, &k.d.cfg.Limits
-	if out := len(k.orders) + k.checks; out >= l.SocketOpens || out+len(k.held) >= l.SocketHolds {
+	if out := len(k.orders) + k.checks; out >= l.PendingPerSocket || out+len(k.held) >= l.SessionsPerSocket {
 		d.stats.Refused++ // a flood of opens costs an answer each and nothing more
 		k.refuse(id, "crowd", "too many sessions or open messages on this connection; nothing was set up",
 			d.cfg.Attempts.MaxRetryAfterMs)
@@ -281,7 +281,7 @@
 			k.deny(id, no)
 			return
 		}
-		if !d.accounts.Room(limits.Sockets, 1) {
+		if !d.accounts.Fits(limits.Sockets, 1) {
 			d.stats.Refused++
 			k.refuse(id, "full", "this director is at a limit of its settings; nothing was set up", d.cfg.Attempts.MaxRetryAfterMs)
 			return
@@ -313,9 +313,9 @@
 // report keeps a session's last report. What comes faster than agreed is dropped and counted.
 func (k *socket) report(m *pb.Report) {
 	d := k.d
-	k.meter.PerMs = float64(max(len(k.held), 1)) / d.cfg.Times.ReportMs
+	k.meter.RatePerMs = float64(max(len(k.held), 1)) / d.cfg.Times.ReportMs
 	k.meter.Burst = float64(2 * max(len(k.held), 2))
-	if !k.meter.Take(d.l.Now()) || len(m.Cmcd) > maxReport {
+	if !k.meter.Allow(d.l.Now()) || len(m.Cmcd) > maxReport {
 		d.stats.ReportsDropped++
 		return
 	}
@@ -323,9 +323,9 @@
 		if s.claims.id != m.Jti {
 			continue
 		}
-		d.accounts.Give(limits.Reports, int64(len(s.report)))
+		d.accounts.Release(limits.Reports, int64(len(s.report)))
 		s.report = ""
-		if !d.accounts.Take(limits.Reports, int64(len(m.Cmcd))) {
+		if !d.accounts.Acquire(limits.Reports, int64(len(m.Cmcd))) {
 			d.stats.ReportsDropped++
 			return
 		}
@@ -349,7 +349,7 @@
 	switch r.verdict {
 	case isPlaying:
 		k.hold(r.s)
-		p := &pb.Playing{Jti: o.claims.id, ManifestUrl: d.manifestURL(d.cfg.Me(), o), Rung: uint32(r.s.rung), KbitPerS: d.kbits(r.s)}
+		p := &pb.Playing{Jti: o.claims.id, ManifestUrl: d.manifestURL(d.cfg.Self(), o), Rung: uint32(r.s.rung), KbitPerS: d.kbits(r.s)}
 		if o.inline {
 			d.body = d.manifest(d.body[:0], r.s, o.claims.raw)
 			p.Manifest = string(d.body)
@@ -372,15 +372,15 @@
 			return
 		}
 	}
-	k.d.accounts.Take(limits.Sockets, 1)
+	k.d.accounts.Acquire(limits.Sockets, 1)
 	k.held = append(k.held, s)
 	s.holders = append(s.holders, k)
-	k.d.ledgerIn = append(k.d.ledgerIn, once.Event{Kind: once.Tie, Session: s.id})
+	k.d.ledgerIn = append(k.d.ledgerIn, idempotency.Event{Kind: idempotency.ConnectionAttached, Session: s.id})
 }
 
 // kbits is the rate of the rung in force, kbit/s.
 func (d *Director) kbits(s *session) uint32 {
-	return uint32(d.cfg.Ladder.RateKB[s.rung] * d.cfg.Classes[s.title.class].Scale * 8)
+	return uint32(d.cfg.Ladder.RateKB[s.rung] * d.cfg.Classes[s.title.class].RateScale * 8)
 }
 
 // rung tells a change of rung.
@@ -397,7 +397,7 @@
 			break
 		}
 	}
-	k.d.accounts.Give(limits.Sockets, 1)
+	k.d.accounts.Release(limits.Sockets, 1)
 	k.send(&pb.ServerMessage{Body: &pb.ServerMessage_Ended{Ended: &pb.Ended{Jti: s.claims.id, Why: why}}})
 }
 
@@ -412,7 +412,7 @@
 		silent := now - k.heard
 		switch {
 		case k.closed && now > k.until, silent > d.cfg.Times.PingMs+d.cfg.Times.PongMs:
-			k.c.Close(loop.ErrIdle)
+			k.c.Close(loop.ErrClosedByOwner)
 		case silent > d.cfg.Times.PingMs && !k.pinged && !k.closed:
 			k.pinged = true
 			k.c.Write(ws.Append(nil, ws.Ping, nil))
--- a/internal/director/upstream.go
+++ b/internal/director/upstream.go
@@ -34,7 +34,7 @@
 // box is what the director keeps of a box: its connections and what waits to be told to it.
 type box struct {
 	d     *Director
-	id    headmill.ServerID
+	id    headmill.NodeID
 	addr  string
 	idle  []*upstream
 	conns int
@@ -43,7 +43,7 @@
 	used  float64
 }
 
-func (d *Director) box(id headmill.ServerID) *box {
+func (d *Director) box(id headmill.NodeID) *box {
 	b := d.boxes[id]
 	if b == nil {
 		b = &box{d: d, id: id, addr: d.fleet.Addr(id)}
@@ -60,17 +60,17 @@
 	for n := len(b.idle); n > 0; n = len(b.idle) {
 		u := b.idle[n-1]
 		b.idle = b.idle[:n-1]
-		if u.c.Quiet() {
+		if u.c.Idle() {
 			return u
 		}
-		u.c.Close(loop.ErrIdle)
+		u.c.Close(loop.ErrClosedByOwner)
 	}
 	return nil
 }
 
 // dial opens a connection for a user; it returns false where that fails at once or the cap is reached.
 func (b *box) dial(for_ user) bool {
-	if b.conns >= b.d.cfg.Limits.ConnsPerBox {
+	if b.conns >= b.d.cfg.Limits.ConnsPerNode {
 		return false
 	}
 	u := &upstream{b: b, use: for_, p: http1.NewResponses(http1.Limits{})}
@@ -81,7 +81,7 @@
 	u.c = c
 	c.SetLimit(1 << 20)
 	b.conns++
-	u.timer = b.d.l.After(b.d.cfg.Times.ConnectMs, func() { c.Close(loop.ErrConnect) })
+	u.timer = b.d.l.After(b.d.cfg.Times.ConnectMs, func() { c.Close(loop.ErrConnectTimeout) })
 	return true
 }
 
@@ -99,8 +99,8 @@
 	if !u.c.Open() {
 		return
 	}
-	if u.p.Msg.Close || len(u.b.idle) >= u.b.d.cfg.Limits.PoolPerBox {
-		u.c.Close(loop.ErrIdle)
+	if u.p.Msg.Close || len(u.b.idle) >= u.b.d.cfg.Limits.IdleConnsPerNode {
+		u.c.Close(loop.ErrClosedByOwner)
 		return
 	}
 	u.p.Next()
@@ -187,12 +187,12 @@
 	}
 	d.nextBoxSweep = now + 1000
 	for id, b := range d.boxes {
-		for len(b.idle) > 0 && now-b.idle[0].rested > d.cfg.Times.BoxIdleMs {
+		for len(b.idle) > 0 && now-b.idle[0].rested > d.cfg.Times.NodeIdleMs {
 			u := b.idle[0]
 			b.idle = b.idle[1:]
-			u.c.Close(loop.ErrIdle)
+			u.c.Close(loop.ErrClosedByOwner)
 		}
-		if b.conns == 0 && b.notes == nil && len(b.cmds.queue) == 0 && now-b.used > 4*d.cfg.Times.BoxIdleMs {
+		if b.conns == 0 && b.notes == nil && len(b.cmds.queue) == 0 && now-b.used > 4*d.cfg.Times.NodeIdleMs {
 			delete(d.boxes, id)
 		}
 	}
--- a/internal/history/plot.go
+++ b/internal/history/plot.go
@@ -28,8 +28,8 @@
 	Racks                []string
 	Cells                map[string]map[int64]*quality.Group // by rack and window
 	Whole                quality.Group
-	Troubles             []quality.Trouble
-	Causes               []quality.Share
+	Troubles             []quality.FindingInterval
+	Causes               []quality.CauseLoss
 }
 
 // Summarize adds rows up. Directors' windows don't begin at the same moment: they are put on one grid.
@@ -45,7 +45,7 @@
 		return nil, errors.New("history: no closed window in that time; windows close quality.late_ms after they end")
 	}
 	whole := map[float64]float64{}
-	var losses []quality.Loss
+	var losses []quality.GroupLoss
 	found := map[string]int{}
 	for i := range rows {
 		r := &rows[i]
@@ -55,7 +55,7 @@
 			if !ok {
 				n = len(s.Troubles)
 				found[key] = n
-				s.Troubles = append(s.Troubles, quality.Trouble{Dim: r.Dim, Name: r.Name, From: float64(r.FromMs), To: float64(r.ToMs)})
+				s.Troubles = append(s.Troubles, quality.FindingInterval{Dim: r.Dim, Name: r.Name, From: float64(r.FromMs), To: float64(r.ToMs)})
 			}
 			s.Troubles[n].To = max(s.Troubles[n].To, float64(r.ToMs))
 			continue
@@ -80,7 +80,7 @@
 			}
 			s.Cells[r.Name][at].Merge(g)
 		}
-		losses = append(losses, quality.Loss{Dim: r.Dim, Name: r.Name, From: float64(at), To: float64(at + 1), Lost: r.Lost})
+		losses = append(losses, quality.GroupLoss{Dim: r.Dim, Name: r.Name, From: float64(at), To: float64(at + 1), Lost: r.Lost})
 	}
 	slices.SortFunc(s.Racks, func(a, b string) int { // 2 before 10
 		if len(a) != len(b) {
@@ -88,12 +88,12 @@
 		}
 		return strings.Compare(a, b)
 	})
-	grid := make([]quality.Trouble, 0, len(s.Troubles))
+	grid := make([]quality.FindingInterval, 0, len(s.Troubles))
 	for _, t := range s.Troubles {
 		t.From, t.To = (t.From-float64(s.FromMs))/float64(s.StepMs), (t.To-float64(s.FromMs))/float64(s.StepMs)
 		grid = append(grid, t)
 	}
-	s.Causes = quality.Causes(whole, losses, grid)
+	s.Causes = quality.AttributeLoss(whole, losses, grid)
 	return s, nil
 }
 
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -34,7 +34,7 @@
 var ErrSlowReader = errors.New("loop: peer does not read; output over its bound")
 
 // ErrIdle is the cause of a cut by the owner for idleness or lateness.
-var ErrIdle = errors.New("loop: cut by its owner")
+var ErrClosedByOwner = errors.New("loop: cut by its owner")
 
 // ErrStopped is the cause given to connections that are open when the loop ends.
 var ErrStopped = errors.New("loop: stopped")
@@ -48,7 +48,7 @@
 	seq        uint64
 	slots      map[int]*Conn
 	lists      map[int]*Listener
-	packets    map[int]*Packet
+	packets    map[int]*PacketConn
 	buf        []byte
 	events     []unix.EpollEvent
 	lingers    map[int]*linger
@@ -75,7 +75,7 @@
 		return nil, fmt.Errorf("loop: eventfd: %w", err)
 	}
 	l := &Loop{ep: ep, wake: wake, start: time.Now(), slots: map[int]*Conn{}, lists: map[int]*Listener{}, lingers: map[int]*linger{},
-		packets: map[int]*Packet{}, lingerMost: lingerMost,
+		packets: map[int]*PacketConn{}, lingerMost: lingerMost,
 		buf: make([]byte, readSize), events: make([]unix.EpollEvent, waitBatch)}
 	if err := l.ctl(unix.EPOLL_CTL_ADD, wake, unix.EPOLLIN); err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 func (l *Loop) Now() float64 { return l.now }
 
 // WorstLag is the longest round, in ms, since it was last asked.
-func (l *Loop) WorstLag() float64 {
+func (l *Loop) MaxLag() float64 {
 	w := l.worst
 	l.worst = 0
 	return w
@@ -129,7 +129,7 @@
 
 // SetLingerMost bounds the closed connections whose peers are still read from; further ones are closed at once. For a
 // program with few descriptors.
-func (l *Loop) SetLingerMost(n int) { l.lingerMost = n }
+func (l *Loop) SetMaxLingering(n int) { l.lingerMost = n }
 
 // OnRound sets the call at the end of each round, after its events and timers.
 func (l *Loop) OnRound(f func()) { l.round = f }
@@ -283,7 +283,7 @@
 
 // SetHome also serves the network that a director's own address lies in, where a platform names one. Elsewhere headmill
 // listens on and connects to the loopback interface only.
-func (l *Loop) SetHome(addr string) error {
+func (l *Loop) SetLocalAddr(addr string) error {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return fmt.Errorf("loop: address %q: want IPv4:PORT: %w", addr, err)
@@ -382,7 +382,7 @@
 
 // Finish takes the connections that the machine has accepted already, and stops listening: closed at once, the listener
 // would reset them with what their peers have sent.
-func (s *Listener) Finish() {
+func (s *Listener) StopAccepting() {
 	for s.fd >= 0 && s.accept() {
 	}
 	s.Close()
--- a/internal/loop/packet.go
+++ b/internal/loop/packet.go
@@ -9,7 +9,7 @@
 const packetReads = 64 // datagrams read at one readiness, so that a flood of them does not starve the rest
 
 // Packet is a datagram socket that talks to one peer on the loopback interface.
-type Packet struct {
+type PacketConn struct {
 	l    *Loop
 	fd   int
 	take func([]byte)
@@ -17,7 +17,7 @@
 
 // Packet opens a datagram socket to addr. take is called for each datagram that comes from there; its bytes are only
 // valid during the call.
-func (l *Loop) Packet(addr string, take func([]byte)) (*Packet, error) {
+func (l *Loop) DialPacket(addr string, take func([]byte)) (*PacketConn, error) {
 	sa, err := l.local(addr)
 	if err != nil {
 		return nil, err
@@ -34,21 +34,21 @@
 		unix.Close(fd)
 		return nil, err
 	}
-	p := &Packet{l: l, fd: fd, take: take}
+	p := &PacketConn{l: l, fd: fd, take: take}
 	l.packets[fd] = p
 	return p, nil
 }
 
 // Send sends one datagram. It may be lost; an error of the socket is not told, since the answer's absence says the
 // same.
-func (p *Packet) Send(b []byte) {
+func (p *PacketConn) Send(b []byte) {
 	if p.fd >= 0 {
 		unix.SendmsgN(p.fd, b, nil, nil, unix.MSG_NOSIGNAL)
 	}
 }
 
 // Move talks to another peer from now on, on the same descriptor.
-func (p *Packet) Move(addr string) error {
+func (p *PacketConn) Reconnect(addr string) error {
 	sa, err := p.l.local(addr)
 	if err != nil {
 		return err
@@ -60,7 +60,7 @@
 }
 
 // Close ends the socket; take is not called again.
-func (p *Packet) Close() {
+func (p *PacketConn) Close() {
 	if p.fd >= 0 {
 		delete(p.l.packets, p.fd)
 		unix.Close(p.fd)
@@ -68,7 +68,7 @@
 	}
 }
 
-func (p *Packet) ready() {
+func (p *PacketConn) ready() {
 	for range packetReads {
 		if p.fd < 0 {
 			return
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -17,7 +17,7 @@
 // Load is what headmill's boxes report: streams that run or are being set up, and what is asked of the link
 // and of the rack's uplink over what they give.
 type Load struct {
-	Told            bool
+	Present         bool
 	Streams, X0, X1 float64
 }
 
@@ -56,11 +56,11 @@
 	}
 	switch k {
 	case "inflight":
-		l.Streams, l.Told = f, true
+		l.Streams, l.Present = f, true
 	case "x0":
-		l.X0, l.Told = f, true
+		l.X0, l.Present = f, true
 	case "x1":
-		l.X1, l.Told = f, true
+		l.X1, l.Present = f, true
 	}
 }
 
--- a/internal/platform/names/names.go
+++ b/internal/platform/dns/names.go
@@ -1,7 +1,7 @@
 // Package names reads what the name service of the users' platform says of
 // media nodes: DNS answers and the list in a director's configuration. It is
 // pure and only translates; which list counts is decided in decide/fleet.
-package names
+package dns
 
 import (
 	"encoding/json"
@@ -13,14 +13,14 @@
 
 	"golang.org/x/net/dns/dnsmessage"
 
-	"headmill/decide/fleet"
+	"headmill/decide/discovery"
 )
 
 // ErrAnswer is wrapped by every error about an answer that can't be used; the list stays as it was.
 var ErrAnswer = errors.New("names: answer can't be used")
 
 // Words are the names of zones and kinds in the order of the settings.
-type Words struct{ Zones, Kinds []string }
+type Vocabulary struct{ Zones, Kinds []string }
 
 func place(list []string, name, what string) (int, error) {
 	for i, s := range list {
@@ -46,7 +46,7 @@
 }
 
 // Known is the list of the start, as the configuration holds it.
-type Known struct {
+type Snapshot struct {
 	No    uint64 `json:"no"`
 	Items []struct {
 		No     uint64 `json:"no"`
@@ -58,8 +58,8 @@
 }
 
 // Message joins the events of the start into one whole list.
-func (k *Known) Message(w Words) (fleet.Message, error) {
-	m := fleet.Message{Version: k.No, Full: true}
+func (k *Snapshot) Message(w Vocabulary) (discovery.Message, error) {
+	m := discovery.Message{Version: k.No, Full: true}
 	at := map[string]int{}
 	for _, item := range k.Items {
 		if item.Roster == nil {
@@ -86,15 +86,15 @@
 }
 
 // ParseKnown reads the list of the start.
-func ParseKnown(text []byte) (k Known, err error) {
+func ParseSnapshot(text []byte) (k Snapshot, err error) {
 	if err = json.Unmarshal(text, &k); err != nil {
 		err = fmt.Errorf("names: known: %w", err)
 	}
 	return k, err
 }
 
-func (h *host) entry(w Words) (fleet.Entry, error) {
-	e := fleet.Entry{Name: h.Host, Addr: h.Dial, State: states[h.Health], SinceMs: h.BornMs, Cell: h.Block, Weight: h.Share}
+func (h *host) entry(w Vocabulary) (discovery.Entry, error) {
+	e := discovery.Entry{Name: h.Host, Addr: h.Dial, State: states[h.Health], StartedAtMs: h.BornMs, Cell: h.Block, Weight: h.Share}
 	var err error
 	if e.State == "" {
 		return e, fmt.Errorf("names: host %s: state %q is not known", h.Host, h.Health)
@@ -107,7 +107,7 @@
 }
 
 // Query is the question for the whole list.
-func Query(id uint16, service string) ([]byte, error) {
+func AppendQuery(id uint16, service string) ([]byte, error) {
 	name, err := dnsmessage.NewName(service)
 	if err != nil {
 		return nil, fmt.Errorf("names: %q: %w", service, err)
@@ -122,7 +122,7 @@
 }
 
 // ID is the number of the query that a datagram answers.
-func ID(b []byte) (uint16, bool) {
+func MessageID(b []byte) (uint16, bool) {
 	var p dnsmessage.Parser
 	h, err := p.Start(b)
 	return h.ID, err == nil && h.Response
@@ -135,7 +135,7 @@
 
 // Answer reads a whole list out of a datagram. An answer that was cut short, reports a failure or lacks a record that
 // the list needs is an error as a whole: half a list would look like media nodes that are gone.
-func Answer(b []byte, w Words) (m fleet.Message, err error) {
+func ParseAnswer(b []byte, w Vocabulary) (m discovery.Message, err error) {
 	var d dnsmessage.Message
 	if err := d.Unpack(b); err != nil {
 		return m, unusable("%v", err)
@@ -168,7 +168,7 @@
 	if !some || len(srv) == 0 {
 		return m, unusable("%d hosts, serial there: %v", len(srv), some)
 	}
-	m = fleet.Message{Version: serial, Full: true}
+	m = discovery.Message{Version: serial, Full: true}
 	for _, r := range srv {
 		target := strings.ToLower(r.Target.String())
 		n := nodes[target]
@@ -179,7 +179,7 @@
 		if len(label) < 2 {
 			return m, unusable("host %s names no zone", target)
 		}
-		e := fleet.Entry{Name: label[0], Addr: netip.AddrPortFrom(n.addr, r.Port).String(), State: "ready",
+		e := discovery.Entry{Name: label[0], Addr: netip.AddrPortFrom(n.addr, r.Port).String(), State: "ready",
 			Weight: float64(r.Weight) / 10}
 		if r.Priority != 0 {
 			e.State = "draining"
@@ -196,7 +196,7 @@
 }
 
 // read takes kind, cell and start out of a host's text.
-func read(e *fleet.Entry, text []string, w Words) (err error) {
+func read(e *discovery.Entry, text []string, w Vocabulary) (err error) {
 	for _, word := range text {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
@@ -205,7 +205,7 @@
 		case "cell":
 			e.Cell, err = strconv.Atoi(value)
 		case "started":
-			e.SinceMs, err = strconv.ParseFloat(value, 64)
+			e.StartedAtMs, err = strconv.ParseFloat(value, 64)
 		}
 		if err != nil {
 			return err
--- a/internal/platform/node/config.go
+++ b/internal/platform/proxy/config.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"strings"
 
 	"headmill"
-	"headmill/internal/platform/names"
+	"headmill/internal/platform/dns"
 	"headmill/internal/wire"
 )
 
@@ -23,10 +23,10 @@
 	Sockets           int     // descriptors that the process may hold
 	MemoryMB          float64 // over which it is killed
 	Cores             float64 // that its processes get together
-	Known             names.Known
+	Snapshot          dns.Snapshot
 	Module            headmill.Config
 	Fields            []string // of a load report, in the order of the settings
-	Words             names.Words
+	Vocabulary        dns.Vocabulary
 	Classes, Tenants  map[string]int
 	DeadlineMs        []float64 // longest wait of each class
 	ConnectMs         float64   // for a connection to a media node
@@ -76,7 +76,7 @@
 	if c.Listen == "" || c.DNS == "" {
 		return nil, fmt.Errorf("listen is %q and dns %q: both are needed", c.Listen, c.DNS)
 	}
-	if c.Known, err = names.ParseKnown(f.Known); err != nil {
+	if c.Snapshot, err = dns.ParseSnapshot(f.Known); err != nil {
 		return nil, err
 	}
 	kv, err := Flatten(f.Settings)
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	c.Module, c.Fields = s.Config, s.Fields
-	c.Words = names.Words{Zones: split(kv["dcs"]), Kinds: split(kv["skus"])}
+	c.Vocabulary = dns.Vocabulary{Zones: split(kv["dcs"]), Kinds: split(kv["skus"])}
 	if err := each(kv, "categories", func(i int, p string) error {
 		c.Classes[kv[p+"name"]] = i
 		ms, err := strconv.ParseFloat(kv[p+"give_up_ms"], 64)
--- a/internal/platform/node/feed.go
+++ b/internal/platform/proxy/feed.go
@@ -1,10 +1,10 @@
-package node
+package proxy
 
 import (
 	"fmt"
 
 	"headmill/internal/loop"
-	"headmill/internal/platform/names"
+	"headmill/internal/platform/dns"
 )
 
 const (
@@ -16,22 +16,22 @@
 
 // feed asks the name service for the whole list, again and again.
 type feed struct {
-	n     *Node
-	sock  *loop.Packet
+	n     *Proxy
+	sock  *loop.PacketConn
 	timer *loop.Timer
 	last  uint16 // question
 }
 
 // open asks at an address from now on.
 func (f *feed) open(addr string) error {
-	sock, err := f.n.l.Packet(addr, f.take)
+	sock, err := f.n.l.DialPacket(addr, f.take)
 	switch {
 	case err == nil:
 		if f.sock != nil {
 			f.sock.Close()
 		}
 		f.sock = sock
-	case f.sock != nil && f.sock.Move(addr) == nil: // no descriptor was left: idle clients may hold them all
+	case f.sock != nil && f.sock.Reconnect(addr) == nil: // no descriptor was left: idle clients may hold them all
 	default:
 		return fmt.Errorf("node: name service: %w", err)
 	}
@@ -43,17 +43,17 @@
 func (f *feed) ask() {
 	f.timer = f.n.l.After((toldMs+f.n.cfg.DrainGraceMs)/asks, f.ask)
 	f.last++
-	if q, err := names.Query(f.last, service); err == nil {
+	if q, err := dns.AppendQuery(f.last, service); err == nil {
 		f.sock.Send(q)
 	}
 }
 
 // take reads one datagram. What can't be used leaves the list as it is: the next question is due soon.
 func (f *feed) take(b []byte) {
-	if id, ok := names.ID(b); !ok || f.last-id >= openAsks {
+	if id, ok := dns.MessageID(b); !ok || f.last-id >= openAsks {
 		return
 	}
-	m, err := names.Answer(b, f.n.cfg.Words)
+	m, err := dns.ParseAnswer(b, f.n.cfg.Vocabulary)
 	if err == nil {
 		err = f.n.take(&m)
 	}
--- a/internal/platform/node/front.go
+++ b/internal/platform/proxy/front.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bytes"
@@ -6,10 +6,10 @@
 	"math"
 	"strconv"
 
-	"headmill/decide/door"
+	"headmill/decide/connmgr"
 	"headmill/decide/release"
 	"headmill/internal/loop"
-	"headmill/internal/platform/lines"
+	"headmill/internal/platform/jsonline"
 )
 
 const (
@@ -20,21 +20,21 @@
 
 // viewer is one connection from viewers.
 type viewer struct {
-	n      *Node
+	n      *Proxy
 	c      *loop.Conn
-	id     door.Conn
+	id     connmgr.ConnID
 	buf    []byte
 	open   map[*session]struct{} // set-ups
 	stands map[*session]struct{} // sessions set up here
 }
 
 // accept takes a connection, if decide/door does.
-func (n *Node) accept(c *loop.Conn) loop.Handler {
+func (n *Proxy) accept(c *loop.Conn) loop.Handler {
 	n.lastView++
 	v := &viewer{n: n, c: c, id: n.lastView, open: map[*session]struct{}{}, stands: map[*session]struct{}{}}
 	c.SetLimit(viewerOut)
 	n.viewers[v.id] = v
-	n.close(door.Event{Kind: door.Came, Conn: v.id})
+	n.close(connmgr.Event{Kind: connmgr.Accepted, Conn: v.id})
 	if n.viewers[v.id] == nil {
 		return nil
 	}
@@ -43,27 +43,27 @@
 
 // close tells decide/door a fact and closes what it says. What makes room is cut, so that its descriptor is free at
 // once.
-func (n *Node) close(ev door.Event) {
+func (n *Proxy) close(ev connmgr.Event) {
 	n.shut = n.door.Step(n.l.Now(), ev, n.shut[:0])
 	for _, a := range n.shut {
 		v := n.viewers[a.Conn]
 		delete(n.viewers, a.Conn)
 		switch {
 		case a.Conn == ev.Conn: // just accepted: the loop closes it
-		case a.Why == door.Crowded:
-			v.c.Close(loop.ErrIdle)
+		case a.Reason == connmgr.LimitReached:
+			v.c.Close(loop.ErrClosedByOwner)
 		default:
-			v.c.End()
+			v.c.CloseWrite()
 		}
-		if a.Why == door.Silent || a.Why == door.Unended {
-			n.stats.Bad++
+		if a.Reason == connmgr.NoRequest || a.Reason == connmgr.IncompleteMessage {
+			n.stats.InvalidRequests++
 		}
 	}
 }
 
 // carries tells decide/door what is on the connection.
 func (v *viewer) carries() {
-	v.n.close(door.Event{Kind: door.Carries, Conn: v.id, Open: len(v.open), Stands: len(v.stands)})
+	v.n.close(connmgr.Event{Kind: connmgr.LoadChanged, Conn: v.id, PendingSetups: len(v.open), Sessions: len(v.stands)})
 }
 
 // Connected is never called: viewers dial.
@@ -75,7 +75,7 @@
 // Closed gives up the set-ups that were open. Sessions that stand belong to no connection.
 func (v *viewer) Closed(*loop.Conn, error) {
 	delete(v.n.viewers, v.id)
-	v.n.close(door.Event{Kind: door.Left, Conn: v.id})
+	v.n.close(connmgr.Event{Kind: connmgr.Closed, Conn: v.id})
 	for s := range v.open {
 		v.n.left(s)
 	}
@@ -85,7 +85,7 @@
 			v.n.left(s)
 		}
 	}
-	v.n.releases(release.Event{Kind: release.Left, Conn: v.id})
+	v.n.releases(release.Event{Kind: release.ConnectionClosed, Conn: v.id})
 }
 
 // Data cuts lines.
@@ -93,13 +93,13 @@
 	whole := false
 	defer func() {
 		if whole { // a part after a whole line is another line's: it has its own time
-			v.n.close(door.Event{Kind: door.Heard, Conn: v.id})
+			v.n.close(connmgr.Event{Kind: connmgr.Received, Conn: v.id})
 		}
-		v.n.close(door.Event{Kind: door.Heard, Conn: v.id, Part: len(v.buf) > 0})
+		v.n.close(connmgr.Event{Kind: connmgr.Received, Conn: v.id, Partial: len(v.buf) > 0})
 	}()
 	for len(b) > 0 && c.Open() {
 		i := bytes.IndexByte(b, '\n')
-		if len(v.buf)+len(b) > lines.Max && (i < 0 || len(v.buf)+i > lines.Max) {
+		if len(v.buf)+len(b) > jsonline.MaxSize && (i < 0 || len(v.buf)+i > jsonline.MaxSize) {
 			v.bad(errors.New("line over 16 KiB"))
 			return
 		}
@@ -120,10 +120,10 @@
 
 // bad ends a connection whose peer sends what can't be read: where the next message begins is not known.
 func (v *viewer) bad(err error) {
-	v.n.stats.Bad++
+	v.n.stats.InvalidRequests++
 	v.n.log.Debug("viewer's line can't be read", "error", err.Error())
 	v.buf = nil
-	v.c.End()
+	v.c.CloseWrite()
 }
 
 func (v *viewer) line(line []byte) {
@@ -131,15 +131,15 @@
 	if len(bytes.TrimSpace(line)) == 0 {
 		return
 	}
-	if err := lines.Parse(line, m); err != nil {
+	if err := jsonline.Parse(line, m); err != nil {
 		v.bad(err)
 		return
 	}
 	if m.Type == "ping" {
-		v.c.Write(lines.AppendPong(n.out[:0], m.ID, 1))
+		v.c.Write(jsonline.AppendPong(n.out[:0], m.ID, 1))
 		return
 	}
-	id, ok := lines.ID(m.ID)
+	id, ok := jsonline.ParseID(m.ID)
 	if !ok {
 		v.bad(errors.New("id is not 16 hex digits"))
 		return
@@ -151,10 +151,10 @@
 		if s := n.sessions[id]; s != nil {
 			n.left(s)
 		}
-		n.releases(release.Event{Kind: release.Heard, Session: release.Session(id)}) // its own end of what is over is one too
-		v.c.Write(lines.AppendReleased(n.out[:0], id))
+		n.releases(release.Event{Kind: release.Confirmed, Session: release.SessionID(id)}) // its own end of what is over is one too
+		v.c.Write(jsonline.AppendReleased(n.out[:0], id))
 	case "released":
-		n.releases(release.Event{Kind: release.Heard, Session: release.Session(id)})
+		n.releases(release.Event{Kind: release.Confirmed, Session: release.SessionID(id)})
 	case "progress", "pong", "note":
 	default:
 		v.bad(errors.New("type " + m.Type))
@@ -169,9 +169,9 @@
 	left                      float64
 }
 
-func (v *viewer) setup(id uint64, m *lines.Message) {
+func (v *viewer) setup(id uint64, m *jsonline.Message) {
 	n := v.n
-	n.close(door.Event{Kind: door.Asked, Conn: v.id})
+	n.close(connmgr.Event{Kind: connmgr.RequestRead, Conn: v.id})
 	if s := n.sessions[id]; s != nil {
 		if at, _ := extra(m, "at"); at != "" && s.state != asked {
 			return // what this director holds already
@@ -179,7 +179,7 @@
 		// An id that is in use. From another connection it is not the session's viewer who asks: the session goes on,
 		// and only the newcomer is turned away. On one connection it can't be told which is meant, so neither goes
 		// on, and there is one answer.
-		n.stats.Bad++
+		n.stats.InvalidRequests++
 		if s.front == v {
 			n.left(s)
 		}
@@ -188,7 +188,7 @@
 	}
 	r, cause := n.read(m)
 	if cause != 0 {
-		n.stats.Bad++
+		n.stats.InvalidRequests++
 		n.log.Debug("set-up can't be used", "id", m.ID, "cause", cause, "fields", m.Fields, "sdp", m.HasSDP)
 		v.release(id, cause, 0)
 		return
@@ -197,13 +197,13 @@
 }
 
 // extra is one of a set-up's extras.
-func extra(m *lines.Message, name string) (string, bool) {
+func extra(m *jsonline.Message, name string) (string, bool) {
 	text, _ := m.Get("extras")
 	return pick(text, name)
 }
 
 // read checks a set-up's fields. A cause other than 0 tells why it can't be used.
-func (n *Node) read(m *lines.Message) (r request, cause int) {
+func (n *Proxy) read(m *jsonline.Message) (r request, cause int) {
 	className, ok1 := m.Get("class")
 	left, ok2 := m.Get("left")
 	title, ok3 := m.Get("key")
@@ -225,7 +225,7 @@
 		r.at == "" && r.left > 2*n.cfg.DeadlineMs[r.class] { // a session that plays has no deadline: any figure will do
 		return r, causeInvalid
 	}
-	if r.key, ok = lines.ID(title); !ok {
+	if r.key, ok = jsonline.ParseID(title); !ok {
 		return r, causeInvalid
 	}
 	for _, f := range []struct {
@@ -249,7 +249,7 @@
 
 // release answers a set-up that is not to stand, or tells the end of a session.
 func (v *viewer) release(id uint64, cause int, waitMs float64) {
-	v.n.out = lines.AppendRelease(v.n.out[:0], id, cause, waitMs)
+	v.n.out = jsonline.AppendRelease(v.n.out[:0], id, cause, waitMs)
 	v.c.Write(v.n.out)
 }
 
--- a/internal/platform/node/media.go
+++ b/internal/platform/proxy/media.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"errors"
@@ -8,10 +8,10 @@
 
 	"headmill"
 	"headmill/decide/attempt"
-	"headmill/decide/boxes"
+	"headmill/decide/health"
 	"headmill/internal/loop"
 	"headmill/internal/platform/frame"
-	"headmill/internal/platform/lines"
+	"headmill/internal/platform/jsonline"
 )
 
 const (
@@ -26,8 +26,8 @@
 
 // box is what the director keeps of a media node.
 type box struct {
-	n        *Node
-	id       headmill.ServerID
+	n        *Proxy
+	id       headmill.NodeID
 	name     string
 	addr     string
 	links    []*link
@@ -59,7 +59,7 @@
 
 // try is one attempt, from the module's word to its outcome.
 type try struct {
-	n     *Node
+	n     *Proxy
 	s     *session
 	b     *box
 	k     *link
@@ -73,7 +73,7 @@
 	timer *loop.Timer
 }
 
-func (n *Node) box(id headmill.ServerID) *box {
+func (n *Proxy) box(id headmill.NodeID) *box {
 	b := n.boxes[id]
 	if b == nil {
 		b = &box{n: n, id: id, standing: map[uint64]*session{}}
@@ -103,12 +103,12 @@
 	c.SetLimit(boxOut)
 	b.links = append(b.links, k)
 	b.n.links++
-	k.timer = b.n.l.After(b.n.cfg.ConnectMs, func() { c.Close(loop.ErrConnect) })
+	k.timer = b.n.l.After(b.n.cfg.ConnectMs, func() { c.Close(loop.ErrConnectTimeout) })
 	return k
 }
 
 // replaced tells whether the media node has gone and another has its address: what is there now says nothing of it.
-func (b *box) replaced() bool { return !b.n.list.Has(b.id) && b.n.list.Taken(b.addr) }
+func (b *box) replaced() bool { return !b.n.list.Listed(b.id) && b.n.list.AddrInUse(b.addr) }
 
 // drop takes a connection out of use. Its set-ups hear of it by Closed.
 func (b *box) drop(k *link) {
@@ -131,7 +131,7 @@
 func (k *link) retire() {
 	if k.addr != k.b.addr && len(k.tries) == 0 {
 		k.b.drop(k)
-		k.c.Close(loop.ErrIdle)
+		k.c.Close(loop.ErrClosedByOwner)
 	}
 }
 
@@ -146,7 +146,7 @@
 // set-up with it.
 func (b *box) spare() *link {
 	for _, k := range b.links {
-		if k.usable() && len(k.tries) == 0 && !k.r.Partial() && !k.stale() && k.c.Quiet() {
+		if k.usable() && len(k.tries) == 0 && !k.r.Partial() && !k.stale() && k.c.Idle() {
 			return k
 		}
 	}
@@ -170,20 +170,20 @@
 	if b.least() != nil {
 		b.hello()
 	} else if !slices.ContainsFunc(b.links, here) && b.dial() == nil {
-		b.n.tellWatch(boxes.Event{Kind: boxes.Broke, Box: boxes.Box(b.id), Refused: b.replaced()})
+		b.n.tellWatch(health.Event{Kind: health.StreamFailed, Node: health.NodeID(b.id), ConnRefused: b.replaced()})
 	}
 }
 
 func (b *box) hello() {
-	b.n.tellWatch(boxes.Event{Kind: boxes.Hello, Box: boxes.Box(b.id), Sessions: b.placed()})
+	b.n.tellWatch(health.Event{Kind: health.StreamOpened, Node: health.NodeID(b.id), Sessions: b.placed()})
 }
 
 // placed lists what this director holds there: the platform's media nodes don't tell what they run, so a connection
 // that stands proves that the machine lives and says nothing against any session.
-func (b *box) placed() []boxes.Session {
-	var l []boxes.Session
+func (b *box) placed() []health.SessionID {
+	var l []health.SessionID
 	for _, s := range b.standing {
-		l = append(l, boxes.Session(s.no))
+		l = append(l, health.SessionID(s.no))
 	}
 	return l
 }
@@ -196,7 +196,7 @@
 		case k.c.Pending() > 0:
 			k.c.Close(loop.ErrSlowReader)
 		default:
-			k.c.Close(loop.ErrIdle)
+			k.c.Close(loop.ErrClosedByOwner)
 		}
 	}
 }
@@ -277,7 +277,7 @@
 // Data reads messages.
 func (k *link) Data(c *loop.Conn, data []byte) {
 	n := k.b.n
-	n.tellWatch(boxes.Event{Kind: boxes.Heard, Box: boxes.Box(k.b.id)})
+	n.tellWatch(health.Event{Kind: health.StreamActivity, Node: health.NodeID(k.b.id)})
 	k.used = n.l.Now()
 	was := k.r.Partial()
 	err := k.r.Feed(data, func(m *frame.Message) bool {
@@ -301,7 +301,7 @@
 // may be reset with what was written last.
 func (k *link) spoilt(err error) {
 	n := k.b.n
-	n.stats.Spoilt++
+	n.stats.Malformed++
 	n.log.Debug("media node's message can't be read", "host", k.b.name, "error", err.Error())
 	k.b.drop(k)
 	k.c.Close(errSpoilt)
@@ -315,25 +315,25 @@
 	b := k.b
 	b.n.l.Cancel(k.timer)
 	b.drop(k)
-	if loop.Refused(err) { // no process, so nothing that could be told
+	if loop.IsConnRefused(err) { // no process, so nothing that could be told
 		b.queue = nil
 	}
 	if len(b.links) == 0 {
-		b.n.tellWatch(boxes.Event{Kind: boxes.Broke, Box: boxes.Box(b.id), Refused: loop.Refused(err)})
+		b.n.tellWatch(health.Event{Kind: health.StreamFailed, Node: health.NodeID(b.id), ConnRefused: loop.IsConnRefused(err)})
 	} else if k.up && err != nil && len(b.standing) > 0 {
 		// A session's end that was written here is lost, and comes again on the next connection that is opened: with
 		// others open, none might be, and the session would stand for good.
 		b.dial()
 	}
 	for id, t := range k.tries {
-		sent := t.a.State() == attempt.Sent
+		sent := t.a.State() == attempt.StateSent
 		t.closed()
-		if sent && !loop.Refused(err) { // its answer may be lost with the connection, and what stands is nobody's
+		if sent && !loop.IsConnRefused(err) { // its answer may be lost with the connection, and what stands is nobody's
 			b.release(id, b.n.l.Now())
 		}
 	}
 	for _, e := range k.ended {
-		if b.n.l.Now()-e.at <= lateMs && err != loop.ErrIdle { // closed by this side, with nothing unsent, it has arrived
+		if b.n.l.Now()-e.at <= lateMs && err != loop.ErrClosedByOwner { // closed by this side, with nothing unsent, it has arrived
 			b.release(e.id, e.at)
 		}
 	}
@@ -372,8 +372,8 @@
 	}
 }
 
-var sorts = map[string]headmill.NoteKind{"got": headmill.NoteShare, "level": headmill.NoteRung,
-	"port": headmill.NoteLink, "spine": headmill.NoteUplink}
+var sorts = map[string]headmill.FeedbackKind{"got": headmill.FeedbackRateShare, "level": headmill.FeedbackRung,
+	"port": headmill.FeedbackLinkLoad, "spine": headmill.FeedbackUplinkLoad}
 
 func (k *link) note(m *frame.Message) {
 	s := k.b.standing[m.Session]
@@ -382,10 +382,10 @@
 	if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) || s == nil {
 		return
 	}
-	if kind == headmill.NoteRung && s.sent == unknown {
+	if kind == headmill.FeedbackRung && s.sent == unknown {
 		s.sent = int(v)
 	}
-	k.b.n.tell(headmill.Event{Kind: headmill.EvNote, Session: s.no, Server: k.b.id, Note: kind, Value: v})
+	k.b.n.tell(headmill.Event{Kind: headmill.EvFeedback, Session: s.no, Node: k.b.id, Feedback: kind, Value: v})
 }
 
 // sweep closes connections on which a message waits for its rest, and forgets what has gone or is long unused.
@@ -395,11 +395,11 @@
 			k.spoilt(errors.New("message without its end"))
 		} else if k.up && len(k.tries)+len(b.standing) == 0 && k.c.Pending() == 0 && k.stale() {
 			b.drop(k)
-			k.c.Close(loop.ErrIdle)
+			k.c.Close(loop.ErrClosedByOwner)
 		}
 	}
 	b.deliver()
-	gone := !b.n.list.Has(b.id)
+	gone := !b.n.list.Listed(b.id)
 	if gone && len(b.standing) == 0 {
 		b.shut()
 	}
@@ -411,7 +411,7 @@
 // ---- attempts ----
 
 // send begins the attempt that the module asked for. allow is its time, ms; 0: until the viewer gives up.
-func (n *Node) send(s *session, server headmill.ServerID, allow float64) {
+func (n *Proxy) send(s *session, server headmill.NodeID, allow float64) {
 	now := n.l.Now()
 	if left := s.deadline - now; allow == 0 || allow > left {
 		allow = left
@@ -420,7 +420,7 @@
 	t := &try{n: n, s: s, b: b, began: now, until: now + allow}
 	s.box, s.try = b, t
 	n.stats.Attempts++
-	t.timer = n.l.After(allow, func() { t.step(attempt.Event{Kind: attempt.Expired}) })
+	t.timer = n.l.After(allow, func() { t.step(attempt.Event{Kind: attempt.DeadlineExceeded}) })
 	k := b.spare()
 	if k == nil {
 		if k = b.dial(); k == nil {
@@ -450,21 +450,21 @@
 				if k := t.b.dial(); k != nil {
 					t.join(k)
 				} else {
-					t.step(attempt.Event{Kind: attempt.Broke})
+					t.step(attempt.Event{Kind: attempt.ConnectionClosed})
 				}
 			}
 		case attempt.Write:
 			if !t.n.gone(t.s) {
 				t.write()
 			}
-		case attempt.Cut: // the connection stays: it carries other set-ups
+		case attempt.CloseConnection: // the connection stays: it carries other set-ups
 			if t.k != nil && t.wrote {
 				t.k.release(t.s.id, t.n.l.Now())
 			}
 			t.off()
-		case attempt.Keep:
+		case attempt.KeepConnection:
 			t.off()
-		case attempt.Settle:
+		case attempt.ReportOutcome:
 			t.settle(a.Outcome)
 		}
 	}
@@ -493,33 +493,33 @@
 	t.base = c.Written() + int64(c.Pending())
 	t.k.write(out)
 	t.wrote = true
-	t.step(attempt.Event{Kind: attempt.Wrote, Bytes: c.Written() - t.base})
+	t.step(attempt.Event{Kind: attempt.BytesWritten, Bytes: c.Written() - t.base})
 }
 
 // closed tells what is known after the connection's end: whether a byte of the set-up had left.
 func (t *try) closed() {
 	if t.wrote && t.k.c.Written() > t.base {
-		t.step(attempt.Event{Kind: attempt.Wrote, Bytes: t.k.c.Written() - t.base})
+		t.step(attempt.Event{Kind: attempt.BytesWritten, Bytes: t.k.c.Written() - t.base})
 	}
 	t.k, t.wrote = nil, false
-	t.step(attempt.Event{Kind: attempt.Broke})
+	t.step(attempt.Event{Kind: attempt.ConnectionClosed})
 }
 
 // answered passes the session on. A description that no line can hold can't be: nobody is told that the session
 // stands, so it is ended there.
 func (t *try) answered(sdp []byte) {
-	if t.a.State() != attempt.Sent || t.n.gone(t.s) {
+	if t.a.State() != attempt.StateSent || t.n.gone(t.s) {
 		return
 	}
 	s, n := t.s, t.n
-	n.out = lines.AppendAnswer(n.out[:0], s.id, sdp)
-	if len(n.out) > lines.Max {
-		n.stats.Spoilt++
+	n.out = jsonline.AppendAnswer(n.out[:0], s.id, sdp)
+	if len(n.out) > jsonline.MaxSize {
+		n.stats.Malformed++
 		t.k.release(s.id, n.l.Now())
 		t.broke()
 		return
 	}
-	t.step(attempt.Event{Kind: attempt.Whole, Status: 201})
+	t.step(attempt.Event{Kind: attempt.ResponseComplete, Status: 201})
 	s.try = nil
 	n.stands(s, n.l.Now()-t.began, n.out)
 }
@@ -527,7 +527,7 @@
 // broke ends an attempt whose connection goes on.
 func (t *try) broke() {
 	t.off()
-	t.step(attempt.Event{Kind: attempt.Broke})
+	t.step(attempt.Event{Kind: attempt.ConnectionClosed})
 }
 
 // released is the media node's own word on a set-up.
@@ -535,23 +535,23 @@
 	switch cause {
 	case causeFull, causeMoot:
 		t.moot = cause == causeMoot
-		t.step(attempt.Event{Kind: attempt.Whole, Status: 503, NeverRan: true})
+		t.step(attempt.Event{Kind: attempt.ResponseComplete, Status: 503, NeverRan: true})
 	case causeError:
 		t.n.log.Debug("media node answers a set-up with an error", "host", t.b.name, "id", t.s.id, "class", t.s.className,
 			"title", t.s.title, "sdp", t.s.sdp, "left", t.s.deadline-t.began)
-		t.step(attempt.Event{Kind: attempt.Whole, Status: 500})
+		t.step(attempt.Event{Kind: attempt.ResponseComplete, Status: 500})
 	default:
 		t.broke()
 	}
 }
 
-var outcomes = map[attempt.Outcome]headmill.Outcome{attempt.Full: headmill.Full,
-	attempt.NoConnect: headmill.ConnectFailed, attempt.BoxError: headmill.Failed, attempt.Reset: headmill.Reset,
-	attempt.TimedOut: headmill.TimedOut, attempt.GivenUp: headmill.Cancelled}
+var outcomes = map[attempt.Outcome]headmill.Outcome{attempt.OutcomeFull: headmill.Full,
+	attempt.OutcomeConnectFailed: headmill.ConnectFailed, attempt.OutcomeError: headmill.Failed, attempt.OutcomeReset: headmill.Reset,
+	attempt.OutcomeTimedOut: headmill.TimedOut, attempt.OutcomeCancelled: headmill.Cancelled}
 
 // settle tells the module the outcome of an attempt that does not stand.
 func (t *try) settle(o attempt.Outcome) {
-	if o == attempt.Plays {
+	if o == attempt.OutcomePlaying {
 		return
 	}
 	n, s := t.n, t.s
@@ -561,15 +561,15 @@
 	}
 	what := outcomes[o]
 	if t.moot && o.NeverRan() { // it never left: by the media node's word, or since nobody waits for it any more
-		what = headmill.Moot
+		what = headmill.NeverSent
 	}
-	n.tell(headmill.Event{Kind: headmill.EvSettled, Session: s.no, Server: t.b.id, Outcome: what,
-		Finished: s.state == over, TookMs: n.l.Now() - t.began, Report: t.load})
+	n.tell(headmill.Event{Kind: headmill.EvAttemptEnded, Session: s.no, Node: t.b.id, Outcome: what,
+		SessionOver: s.state == over, LatencyMs: n.l.Now() - t.began, Report: t.load})
 }
 
 // tellRung sends the module's rung where it is not what is in force or on its way. A set-up that is still to be written
 // carries it itself.
-func (n *Node) tellRung(s *session) {
+func (n *Proxy) tellRung(s *session) {
 	if s.rung == s.sent {
 		return
 	}
--- a/internal/platform/node/node.go
+++ b/internal/platform/proxy/node.go
@@ -13,7 +13,7 @@
 //	plays    it stands at its media node
 //	ending   its viewer has left; the media node's last word is awaited
 //	over     the module has let go of it
-package node
+package proxy
 
 import (
 	"log/slog"
@@ -25,14 +25,14 @@
 
 	"headmill"
 	"headmill/decide/attempt"
-	"headmill/decide/boxes"
-	"headmill/decide/door"
-	"headmill/decide/fleet"
+	"headmill/decide/connmgr"
+	"headmill/decide/discovery"
+	"headmill/decide/health"
 	"headmill/decide/limits"
 	"headmill/decide/release"
-	"headmill/decide/retire"
+	"headmill/decide/shutdown"
 	"headmill/internal/loop"
-	"headmill/internal/platform/lines"
+	"headmill/internal/platform/jsonline"
 	"headmill/internal/wire"
 )
 
@@ -90,23 +90,23 @@
 
 // Stats counts what happened since the start.
 type Stats struct {
-	Asked, Played, Refused, Denied, Failed, Left, Bad, Lost, Spoilt, Attempts, Opened int
+	Requests, Played, Refused, Denied, Failed, ViewersLeft, InvalidRequests, Lost, Malformed, Attempts, Opened int
 }
 
 // Node is one director.
-type Node struct {
+type Proxy struct {
 	cfg    *Config
 	l      *loop.Loop
 	log    *slog.Logger
 	module *headmill.Controller
-	list   *fleet.List
-	watch  *boxes.Watch
-	stop   *retire.Stop
+	list   *discovery.List
+	watch  *health.Monitor
+	stop   *shutdown.Shutdown
 	feed   feed
 	listen *loop.Listener
 
 	in, spare []headmill.Event
-	watchIn   []boxes.Event
+	watchIn   []health.Event
 	acts      []headmill.Action
 	flushing  bool
 	unix0     float64 // Unix time, ms, of the loop's zero
@@ -114,51 +114,51 @@
 	sessions map[uint64]*session
 	numbers  map[headmill.SessionID]*session
 	last     headmill.SessionID
-	boxes    map[headmill.ServerID]*box
-	viewers  map[door.Conn]*viewer
-	lastView door.Conn
-	door     *door.Door
-	shut     []door.Action
-	accounts limits.Accounts
-	pending  *release.Pending
+	boxes    map[headmill.NodeID]*box
+	viewers  map[connmgr.ConnID]*viewer
+	lastView connmgr.ConnID
+	door     *connmgr.Manager
+	shut     []connmgr.Action
+	accounts limits.Quotas
+	pending  *release.Retransmitter
 	links    int
 	waiting  int // sessions in asked
 	term     bool
 	hurry    bool
 	out      []byte
-	msg      lines.Message
+	msg      jsonline.Message
 	stats    Stats
 	// Done is called once when the director has stopped.
 	Done func()
 }
 
 // New makes a director on a loop; Start opens it.
-func New(cfg *Config, l *loop.Loop, log *slog.Logger) (*Node, error) {
-	n := &Node{cfg: cfg, l: l, log: log, sessions: map[uint64]*session{}, numbers: map[headmill.SessionID]*session{},
-		boxes: map[headmill.ServerID]*box{}, viewers: map[door.Conn]*viewer{}, Done: func() {}}
+func New(cfg *Config, l *loop.Loop, log *slog.Logger) (*Proxy, error) {
+	n := &Proxy{cfg: cfg, l: l, log: log, sessions: map[uint64]*session{}, numbers: map[headmill.SessionID]*session{},
+		boxes: map[headmill.NodeID]*box{}, viewers: map[connmgr.ConnID]*viewer{}, Done: func() {}}
 	n.unix0 = float64(time.Now().UnixMicro())/1000 - l.Now()
 	var err error
 	if n.module, err = headmill.New(cfg.Module, cfg.Seed); err != nil {
 		return nil, err
 	}
 	m := &cfg.Module
-	n.list = fleet.New(fleet.Config{MaxBoxes: 4096, Cells: m.Cells, Kinds: len(cfg.Words.Kinds), Renumbered: true})
-	n.watch = boxes.New(silence(cfg))
-	n.stop = retire.New(retire.Config{NoticeMs: noticeMs, FinishMs: math.Min(slices.Max(cfg.DeadlineMs), longestMs) + finishMs,
-		PlayMs: math.Inf(1), EndMs: oweMs})
-	n.door = door.New(door.Config{Most: cfg.Sockets / 2, SilentMs: silentMs, RestMs: restMs})
+	n.list = discovery.New(discovery.Config{MaxNodes: 4096, Cells: m.Cells, Kinds: len(cfg.Vocabulary.Kinds), VersionsMayRestart: true})
+	n.watch = health.New(silence(cfg))
+	n.stop = shutdown.New(shutdown.Config{NoticeMs: noticeMs, SetupDrainMs: math.Min(slices.Max(cfg.DeadlineMs), longestMs) + finishMs,
+		SessionDrainMs: math.Inf(1), EndConfirmMs: oweMs})
+	n.door = connmgr.New(connmgr.Config{MaxConns: cfg.Sockets / 2, ReadTimeoutMs: silentMs, IdleTimeoutMs: restMs})
 	most := 1 << 16
 	if held := int64(cfg.MemoryMB * (1 << 20) / heldPart); held > 0 {
-		n.accounts.SetCap(limits.Waiting, held)
-		n.accounts.SetCap(limits.Sessions, held/entrySize)
+		n.accounts.SetLimit(limits.Waiting, held)
+		n.accounts.SetLimit(limits.Sessions, held/entrySize)
 		most = int(held / entrySize)
 	}
-	n.pending = release.New(release.Config{KeepMs: oweMs, AgainMs: againMs, Most: most}, n)
+	n.pending = release.New(release.Config{RetentionMs: oweMs, RetransmitMs: againMs, MaxPending: most}, n)
 	n.feed.n = n
-	if err := l.SetHome(cfg.Listen); err != nil {
+	if err := l.SetLocalAddr(cfg.Listen); err != nil {
 		return nil, err
 	}
-	l.SetLingerMost(cfg.Sockets / 16)
+	l.SetMaxLingering(cfg.Sockets / 16)
 	return n, nil
 }
 
@@ -167,19 +167,19 @@
 // connections' time over for the loop's own lateness. Where none are told, answers have to do, and a client's longest wait
 // stands for the interval. Whatever the settings say, viewers hear of a lost session within the protocol's 8 s: a media
 // node that is only quiet proves itself by taking a connection.
-func silence(cfg *Config) boxes.Config {
-	quiet := cfg.Module.TellMs + cfg.Module.ToldLateMs + 2*cfg.ConnectMs
-	if cfg.Module.TellMs == 0 {
+func silence(cfg *Config) health.Config {
+	quiet := cfg.Module.ReportIntervalMs + cfg.Module.ReportDelayMs + 2*cfg.ConnectMs
+	if cfg.Module.ReportIntervalMs == 0 {
 		quiet = slices.Max(cfg.DeadlineMs)
 	}
 	quiet = math.Min(quiet, oweMs/2)
-	return boxes.Config{SilentMs: quiet, LostMs: quiet + math.Min(3*cfg.ConnectMs, oweMs/4), RetryMs: cfg.ConnectMs / 4,
-		MaxRetry: 2 * cfg.ConnectMs, IdleMs: cfg.KeepAliveMs / 3, OpenMs: cfg.ConnectMs + sweepMs/2}
+	return health.Config{StreamTimeoutMs: quiet, NodeTimeoutMs: quiet + math.Min(3*cfg.ConnectMs, oweMs/4), MinRetryMs: cfg.ConnectMs / 4,
+		MaxRetryMs: 2 * cfg.ConnectMs, IdleTimeoutMs: cfg.KeepAliveMs / 3, OpenTimeoutMs: cfg.ConnectMs + sweepMs/2}
 }
 
 // Start takes the list of the start, asks the name service and opens the door.
-func (n *Node) Start() error {
-	known, err := n.cfg.Known.Message(n.cfg.Words)
+func (n *Proxy) Start() error {
+	known, err := n.cfg.Snapshot.Message(n.cfg.Vocabulary)
 	if err != nil {
 		return err
 	}
@@ -199,16 +199,16 @@
 }
 
 // Addr is the address listened on.
-func (n *Node) Addr() string { return n.listen.Addr() }
+func (n *Proxy) Addr() string { return n.listen.Addr() }
 
 // Stats is what happened so far.
-func (n *Node) Stats() Stats { return n.stats }
+func (n *Proxy) Stats() Stats { return n.stats }
 
 // Stop begins to stop; a second call hurries. It may be called from any goroutine.
-func (n *Node) Stop() { n.l.Post(func() { n.hurry = n.term; n.term = true }) }
+func (n *Proxy) Stop() { n.l.Post(func() { n.hurry = n.term; n.term = true }) }
 
 // Reload takes a configuration read anew: the name service may have another address. The rest holds from the start.
-func (n *Node) Reload(cfg *Config) {
+func (n *Proxy) Reload(cfg *Config) {
 	n.l.Post(func() {
 		if err := n.feed.open(cfg.DNS); err != nil {
 			n.log.Error("name service's new address can't be used; the old one stays", "dns", cfg.DNS, "error", err.Error())
@@ -217,11 +217,11 @@
 }
 
 // now is the Unix time in ms, the clock of the modules and of the name service's starts.
-func (n *Node) now() float64 { return n.unix0 + n.l.Now() }
+func (n *Proxy) now() float64 { return n.unix0 + n.l.Now() }
 
 // flush hands what has gathered to the decision modules until nothing is left. It runs at the end of each round of the
 // loop, so that what came in one round is decided as one batch, in its order.
-func (n *Node) flush() {
+func (n *Proxy) flush() {
 	if n.flushing {
 		return
 	}
@@ -244,20 +244,20 @@
 	n.flushing = false
 }
 
-func (n *Node) tell(ev headmill.Event) { n.in = append(n.in, ev) }
+func (n *Proxy) tell(ev headmill.Event) { n.in = append(n.in, ev) }
 
-func (n *Node) tellWatch(ev boxes.Event) { n.watchIn = append(n.watchIn, ev) }
+func (n *Proxy) tellWatch(ev health.Event) { n.watchIn = append(n.watchIn, ev) }
 
 // take judges a list and tells the module.
-func (n *Node) take(m *fleet.Message) error {
-	ev, verdict, err := n.list.Take(n.now(), m)
-	if verdict == fleet.Taken || len(ev.Servers) > 0 {
+func (n *Proxy) take(m *discovery.Message) error {
+	ev, verdict, err := n.list.Apply(n.now(), m)
+	if verdict == discovery.Accepted || len(ev.Nodes) > 0 {
 		n.tell(ev)
 	}
-	if verdict == fleet.Taken {
+	if verdict == discovery.Accepted {
 		for i := range m.Entries {
 			e := &m.Entries[i]
-			if b := n.boxes[fleet.Named(e.Name)]; b != nil && b.addr != e.Addr {
+			if b := n.boxes[discovery.NodeIDFromName(e.Name)]; b != nil && b.addr != e.Addr {
 				b.move(e.Addr)
 			}
 		}
@@ -266,17 +266,17 @@
 }
 
 // fromModule carries out what the module says; every kind of action is here.
-func (n *Node) fromModule(a *headmill.Action) {
+func (n *Proxy) fromModule(a *headmill.Action) {
 	s := n.numbers[a.Session]
 	switch a.Kind {
-	case headmill.ActSend:
+	case headmill.ActSetup:
 		if s != nil && s.state == asked {
-			n.send(s, a.Server, a.AtMs)
+			n.send(s, a.Node, a.AtMs)
 		} else { // its viewer left in the same round: the module must not wait for an attempt that is never made
-			n.tell(headmill.Event{Kind: headmill.EvSettled, Session: a.Session, Server: a.Server,
-				Outcome: headmill.Moot, Finished: true})
+			n.tell(headmill.Event{Kind: headmill.EvAttemptEnded, Session: a.Session, Node: a.Node,
+				Outcome: headmill.NeverSent, SessionOver: true})
 		}
-	case headmill.ActRung:
+	case headmill.ActSetRung:
 		if s != nil {
 			s.rung = a.Rung
 			n.tellRung(s)
@@ -284,7 +284,7 @@
 	case headmill.ActRefuse:
 		if s != nil && s.state == asked {
 			n.stats.Refused++
-			n.final(s, causeCongested, a.RetryMs)
+			n.final(s, causeCongested, a.RetryAfterMs)
 		}
 	case headmill.ActFail:
 		if s != nil && s.state == asked {
@@ -294,28 +294,28 @@
 	case headmill.ActTimer:
 		name := a.Timer
 		n.l.At(a.AtMs-n.unix0, func() { n.tell(headmill.Event{Kind: headmill.EvTimer, Timer: name}) })
-	case headmill.ActWatch: // the name service is asked all the time
+	case headmill.ActSubscribe: // the name service is asked all the time
 	case headmill.ActLog:
 		n.log.Warn(a.Text)
 	}
 }
 
 // final answers a set-up that is not to stand, and forgets it.
-func (n *Node) final(s *session, cause int, waitMs float64) {
+func (n *Proxy) final(s *session, cause int, waitMs float64) {
 	if f := s.front; f != nil {
 		f.release(s.id, cause, waitMs)
 	}
 	n.forget(s)
 }
 
-func (n *Node) forget(s *session) {
+func (n *Proxy) forget(s *session) {
 	n.leave(s)
 	if s.state == asked {
 		n.settled(s)
 	}
 	n.l.Cancel(s.timer)
 	s.state = over
-	n.accounts.Give(limits.Sessions, 1)
+	n.accounts.Release(limits.Sessions, 1)
 	if n.sessions[s.id] == s {
 		delete(n.sessions, s.id)
 	}
@@ -323,14 +323,14 @@
 }
 
 // settled gives back what a set-up held while it waited.
-func (n *Node) settled(s *session) {
+func (n *Proxy) settled(s *session) {
 	n.waiting--
-	n.accounts.Give(limits.Waiting, int64(len(s.sdp)))
+	n.accounts.Release(limits.Waiting, int64(len(s.sdp)))
 	s.sdp = ""
 }
 
 // leave takes a session off its viewer's connection.
-func (n *Node) leave(s *session) {
+func (n *Proxy) leave(s *session) {
 	if f := s.front; f != nil {
 		delete(f.open, s)
 		delete(f.stands, s)
@@ -341,14 +341,14 @@
 
 // request makes the module's request out of a set-up. At a bound it is refused here, with the settings' time to come
 // back: the module never hears of it, so nothing of it can have run.
-func (n *Node) request(v *viewer, id uint64, r *request) {
+func (n *Proxy) request(v *viewer, id uint64, r *request) {
 	held := int64(len(r.sdp))
 	switch {
-	case r.at != "" && !n.list.Has(fleet.Named(r.at)): // where it played is not there any more, so it is over
+	case r.at != "" && !n.list.Listed(discovery.NodeIDFromName(r.at)): // where it played is not there any more, so it is over
 		n.log.Debug("session plays where no media node is listed", "host", r.at)
 		n.owe(v, id, causeReset)
 		return
-	case !n.accounts.Room(limits.Sessions, 1), r.at == "" && !n.accounts.Take(limits.Waiting, held):
+	case !n.accounts.Fits(limits.Sessions, 1), r.at == "" && !n.accounts.Acquire(limits.Waiting, held):
 		n.stats.Denied++
 		wait := 0.0
 		if m := &n.cfg.Module; m.RetryAfter {
@@ -357,37 +357,37 @@
 		v.release(id, causeCongested, wait)
 		return
 	}
-	n.accounts.Take(limits.Sessions, 1)
+	n.accounts.Acquire(limits.Sessions, 1)
 	n.last++
 	s := &session{id: id, no: n.last, className: r.className, title: r.title, sdp: r.sdp, front: v,
-		deadline: n.l.Now() + r.left, rung: n.cfg.Module.Classes[r.class].Floor}
+		deadline: n.l.Now() + r.left, rung: n.cfg.Module.Classes[r.class].MinRung}
 	n.sessions[id], n.numbers[s.no] = s, s
-	ev := headmill.Event{Kind: headmill.EvRequest, Session: s.no, Class: r.class, Title: r.key, RemainingMs: r.left,
-		Home: r.home, Copies: r.copies, TopRung: r.top}
+	ev := headmill.Event{Kind: headmill.EvRequest, Session: s.no, Class: r.class, Title: r.key, TimeLeftMs: r.left,
+		FirstCell: r.home, Copies: r.copies, MaxRung: r.top}
 	if r.at != "" {
-		n.adopt(s, fleet.Named(r.at), ev)
+		n.adopt(s, discovery.NodeIDFromName(r.at), ev)
 		return
 	}
 	v.open[s] = struct{}{}
 	v.carries()
-	n.stats.Asked++
+	n.stats.Requests++
 	n.waiting++
 	n.tell(ev)
 }
 
 // adopt takes a session that plays at a media node already.
-func (n *Node) adopt(s *session, server headmill.ServerID, ev headmill.Event) {
+func (n *Proxy) adopt(s *session, server headmill.NodeID, ev headmill.Event) {
 	n.stats.Opened++
 	s.state, s.sent, s.sdp, s.box = plays, unknown, "", n.box(server)
 	s.box.standing[s.id] = s
 	s.front.keep(s)
-	ev.Kind, ev.Server = headmill.EvExisting, server
+	ev.Kind, ev.Node = headmill.EvExistingSession, server
 	n.tell(ev)
-	n.tellWatch(boxes.Event{Kind: boxes.Placed, Box: boxes.Box(server), Session: boxes.Session(s.no)})
+	n.tellWatch(health.Event{Kind: health.SessionStarted, Node: health.NodeID(server), Session: health.SessionID(s.no)})
 }
 
 // stands passes a media node's answer on, as the line that was made of it: the session plays.
-func (n *Node) stands(s *session, took float64, line []byte) {
+func (n *Proxy) stands(s *session, took float64, line []byte) {
 	n.stats.Played++
 	n.settled(s)
 	s.state = plays
@@ -397,13 +397,13 @@
 		s.answered = f.c.Written() + int64(f.c.Pending())
 		f.keep(s)
 	}
-	n.tell(headmill.Event{Kind: headmill.EvPlaying, Session: s.no, Server: s.box.id, TookMs: took})
-	n.tellWatch(boxes.Event{Kind: boxes.Placed, Box: boxes.Box(s.box.id), Session: boxes.Session(s.no)})
+	n.tell(headmill.Event{Kind: headmill.EvAttemptPlaying, Session: s.no, Node: s.box.id, LatencyMs: took})
+	n.tellWatch(health.Event{Kind: health.SessionStarted, Node: health.NodeID(s.box.id), Session: health.SessionID(s.no)})
 	n.tellRung(s) // what was set while the set-up was out and could not be told
 }
 
 // ended settles a session that stood: the module hears of it, and its viewer, where it is owed a release.
-func (n *Node) ended(s *session, o headmill.Outcome, cause int, r headmill.Report) {
+func (n *Proxy) ended(s *session, o headmill.Outcome, cause int, r headmill.Report) {
 	if s.state != plays && s.state != ending {
 		return
 	}
@@ -412,16 +412,16 @@
 	if s.state == plays && cause != causeCancelled {
 		n.owe(s.front, s.id, cause)
 	}
-	n.tell(headmill.Event{Kind: headmill.EvSettled, Session: s.no, Server: s.box.id, Outcome: o, Finished: true, Report: r})
-	n.tellWatch(boxes.Event{Kind: boxes.Gone, Box: boxes.Box(s.box.id), Session: boxes.Session(s.no)})
+	n.tell(headmill.Event{Kind: headmill.EvAttemptEnded, Session: s.no, Node: s.box.id, Outcome: o, SessionOver: true, Report: r})
+	n.tellWatch(health.Event{Kind: health.SessionEnded, Node: health.NodeID(s.box.id), Session: health.SessionID(s.no)})
 	n.forget(s)
 }
 
 // gone looks whether the viewer of a set-up has closed its connection and the loop has not read that yet; it then gives
 // up all that waits there. An attempt that begins, or a session that stands, after its viewer has gone is nobody's.
-func (n *Node) gone(s *session) bool {
+func (n *Proxy) gone(s *session) bool {
 	v := s.front
-	if s.state != asked || v == nil || !v.c.Ended() {
+	if s.state != asked || v == nil || !v.c.WriteClosed() {
 		return s.state == over
 	}
 	v.c.Close(nil)
@@ -432,11 +432,11 @@
 }
 
 // left is the viewer's own end of a session: a set-up given up, or one that stood.
-func (n *Node) left(s *session) {
+func (n *Proxy) left(s *session) {
 	switch s.state {
 	case asked:
-		n.stats.Left++
-		n.tell(headmill.Event{Kind: headmill.EvGone, Session: s.no})
+		n.stats.ViewersLeft++
+		n.tell(headmill.Event{Kind: headmill.EvViewerLeft, Session: s.no})
 		t := s.try
 		n.forget(s)
 		if t != nil {
@@ -453,8 +453,8 @@
 }
 
 // owe sees to it that a viewer hears of its session's end.
-func (n *Node) owe(front *viewer, id uint64, cause int) {
-	ev := release.Event{Kind: release.Over, Session: release.Session(id), Cause: cause}
+func (n *Proxy) owe(front *viewer, id uint64, cause int) {
+	ev := release.Event{Kind: release.SessionEnded, Session: release.SessionID(id), Cause: cause}
 	if front != nil && front.c.Open() {
 		ev.Conn = front.id
 	}
@@ -463,7 +463,7 @@
 
 // releases tells decide/release a fact and writes what it says. A connection that has closed meanwhile says so itself,
 // and the release comes up again.
-func (n *Node) releases(ev release.Event) {
+func (n *Proxy) releases(ev release.Event) {
 	for _, a := range n.pending.Step(n.l.Now(), ev, nil) {
 		if v := n.viewers[a.Conn]; v != nil {
 			v.release(uint64(a.Session), a.Cause, 0)
@@ -472,36 +472,36 @@
 }
 
 // Voice finds a connection for decide/release among those that can be written to.
-func (n *Node) Voice(skip func(door.Conn) bool) (door.Conn, bool) {
-	return n.door.Voice(func(c door.Conn) bool {
+func (n *Proxy) SelectForMessage(skip func(connmgr.ConnID) bool) (connmgr.ConnID, bool) {
+	return n.door.SelectForMessage(func(c connmgr.ConnID) bool {
 		v := n.viewers[c]
 		return v == nil || !v.c.Open() || skip(c)
 	})
 }
 
 // fromWatch carries out what decide/boxes says.
-func (n *Node) fromWatch(a boxes.Action) {
-	b := n.boxes[headmill.ServerID(a.Box)]
+func (n *Proxy) fromWatch(a health.Action) {
+	b := n.boxes[headmill.NodeID(a.Node)]
 	if b == nil {
 		return
 	}
 	switch a.Kind {
-	case boxes.Open:
+	case health.OpenStream:
 		b.reach()
-	case boxes.Shut:
+	case health.CloseStream:
 		b.shut()
-	case boxes.Lose, boxes.Orphan:
+	case health.SessionLost, health.EndOrphan:
 		if s := n.numbers[headmill.SessionID(a.Session)]; s != nil && s.state != asked {
 			n.stats.Lost++
 			n.ended(s, headmill.Reset, causeReset, headmill.Report{})
 		}
-	case boxes.Down:
+	case health.NodeDown:
 		n.log.Warn("media node is down; its sessions are given up", "host", b.name, "sessions", a.Count)
 	}
 }
 
 // report reads a load report: NAME:VALUE;... with the names of the settings.
-func (n *Node) report(b []byte) headmill.Report {
+func (n *Proxy) report(b []byte) headmill.Report {
 	text := string(b)
 	return wire.ReadReport(n.cfg.Fields, func(_ int, name string) (float64, bool) {
 		word, ok := pick(text, name)
@@ -521,44 +521,44 @@
 }
 
 // sweep looks at what is late, and at how far a stop is.
-func (n *Node) sweep() {
+func (n *Proxy) sweep() {
 	n.l.After(sweepMs, n.sweep)
 	now := n.l.Now()
-	n.tellWatch(boxes.Event{Kind: boxes.Tick})
-	n.close(door.Event{Kind: door.Tick})
+	n.tellWatch(health.Event{Kind: health.Tick})
+	n.close(connmgr.Event{Kind: connmgr.Tick})
 	for _, b := range n.boxes {
 		b.sweep(now)
 	}
 	n.releases(release.Event{Kind: release.Tick})
-	for _, a := range n.stop.Step(now, retire.Facts{Asked: n.term, Hurry: n.hurry, Waiting: n.waiting,
-		Playing: len(n.sessions) - n.waiting, Unsent: n.unsent()}, nil) {
+	for _, a := range n.stop.Step(now, shutdown.Status{StopRequested: n.term, SkipDrain: n.hurry, PendingRequests: n.waiting,
+		PlayingSessions: len(n.sessions) - n.waiting, UnsentMessages: n.unsent()}, nil) {
 		n.stopping(a)
 	}
 }
 
 // stopping carries out what decide/retire says.
-func (n *Node) stopping(a retire.Action) {
+func (n *Proxy) stopping(a shutdown.Action) {
 	switch a {
-	case retire.StopTaking: // what still comes was sent by clients that can't know, and is taken until the door closes
-	case retire.CloseDoor:
-		n.listen.Finish()
-	case retire.FailWaiting:
+	case shutdown.RefuseNewSessions: // what still comes was sent by clients that can't know, and is taken until the door closes
+	case shutdown.CloseListeners:
+		n.listen.StopAccepting()
+	case shutdown.FailPending:
 		for _, s := range n.sessions {
 			if s.state == asked {
 				n.abandon(s)
 			}
 		}
-	case retire.EndSessions: // they stand at their media nodes, and the next start of this director is handed them
-	case retire.CutAll:
+	case shutdown.EndSessions: // they stand at their media nodes, and the next start of this director is handed them
+	case shutdown.CloseAllConnections:
 		n.Done()
 	}
 }
 
 // abandon answers a set-up that can't be waited for any longer: failed, since its attempt may run.
-func (n *Node) abandon(s *session) {
+func (n *Proxy) abandon(s *session) {
 	n.stats.Failed++
 	t := s.try
-	n.tell(headmill.Event{Kind: headmill.EvGone, Session: s.no})
+	n.tell(headmill.Event{Kind: headmill.EvViewerLeft, Session: s.no})
 	n.final(s, causeError, 0)
 	if t != nil {
 		t.step(attempt.Event{Kind: attempt.Cancelled})
@@ -567,7 +567,7 @@
 
 // unsent counts what a stop waits for once all is answered: connections whose peers have not taken what was written,
 // and releases that no viewer has confirmed.
-func (n *Node) unsent() int {
+func (n *Proxy) unsent() int {
 	count := n.pending.Len()
 	for _, v := range n.viewers {
 		if v.c.Pending() > 0 {
