--- a/internal/standin/stage/page.go
+++ b/internal/standin/cluster/page.go
@@ -1,4 +1,4 @@
-package stage
+package cluster
 
 import (
 	_ "embed"
--- a/internal/standin/lister/lister.go
+++ b/internal/standin/discovery/lister.go
@@ -2,7 +2,7 @@
 // they run, directors follow one stream each and hear of changes late, as the
 // real service tells them. It also adds up what the boxes of a rack ask of
 // their uplink, in the place of the network itself.
-package lister
+package discovery
 
 import (
 	"encoding/json"
@@ -63,7 +63,7 @@
 }
 
 // Service is one running stand-in.
-type Service struct {
+type Server struct {
 	cfg     Config
 	ln      net.Listener
 	srv     *http.Server
@@ -78,12 +78,12 @@
 }
 
 // Start begins to serve.
-func Start(cfg Config) (*Service, error) {
+func Start(cfg Config) (*Server, error) {
 	ln, err := net.Listen("tcp4", cfg.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("lister: %w", err)
 	}
-	s := &Service{cfg: cfg, ln: ln, boxes: map[string]*entry{}, drains: map[string]bool{}, subs: map[chan string]bool{},
+	s := &Server{cfg: cfg, ln: ln, boxes: map[string]*entry{}, drains: map[string]bool{}, subs: map[chan string]bool{},
 		epoch: fmt.Sprint(time.Now().UnixNano()), stop: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /beat", s.beat)
@@ -95,16 +95,16 @@
 }
 
 // Addr is where it listens.
-func (s *Service) Addr() string { return s.ln.Addr().String() }
+func (s *Server) Addr() string { return s.ln.Addr().String() }
 
 // Close ends it.
-func (s *Service) Close() {
+func (s *Server) Close() {
 	s.once.Do(func() { close(s.stop) })
 	s.srv.Close()
 }
 
 // Drain marks a box as draining, or takes that back.
-func (s *Service) Drain(addr string, on bool) {
+func (s *Server) Drain(addr string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.drains[addr] = on
@@ -118,7 +118,7 @@
 }
 
 // Ready counts the boxes that are told as ready.
-func (s *Service) Ready() int {
+func (s *Server) Ready() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -130,7 +130,7 @@
 	return n
 }
 
-func (s *Service) beat(w http.ResponseWriter, r *http.Request) {
+func (s *Server) beat(w http.ResponseWriter, r *http.Request) {
 	var b beat
 	if err := json.NewDecoder(r.Body).Decode(&b); err != nil {
 		http.Error(w, err.Error(), 400)
@@ -164,7 +164,7 @@
 }
 
 // watch finds boxes that have gone silent.
-func (s *Service) watch() {
+func (s *Server) watch() {
 	t := time.NewTicker(50 * time.Millisecond)
 	defer t.Stop()
 	for {
@@ -193,7 +193,7 @@
 }
 
 // change tells a box's state to all directors after the service's lateness; called with mu held.
-func (s *Service) change(e *entry, lateMs float64) {
+func (s *Server) change(e *entry, lateMs float64) {
 	state := e.state
 	time.AfterFunc(time.Duration(lateMs*float64(time.Millisecond)), func() {
 		s.mu.Lock()
@@ -212,12 +212,12 @@
 	})
 }
 
-func (s *Service) text(m Message) string {
+func (s *Server) text(m Message) string {
 	data, _ := json.Marshal(m)
 	return "data: " + string(data) + "\n\n"
 }
 
-func (s *Service) list(w http.ResponseWriter, r *http.Request) {
+func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	ch := make(chan string, 1024)
 	now := time.Now()
 	s.mu.Lock()
--- a/internal/standin/box/cmaf.go
+++ b/internal/standin/medianode/cmaf.go
@@ -1,4 +1,4 @@
-package box
+package medianode
 
 import "encoding/binary"
 
--- a/internal/standin/tap/tap.go
+++ b/internal/standin/relay/tap.go
@@ -1,7 +1,7 @@
 // Package tap is a TCP relay on loopback that records what passes, with times,
 // and cuts, delays, stalls and resets on order. It knows nothing of what it
 // carries.
-package tap
+package relay
 
 import (
 	"fmt"
@@ -75,7 +75,7 @@
 }
 
 // Tap is one relay.
-type Tap struct {
+type Relay struct {
 	Name   string
 	log    *Log
 	mu     sync.Mutex
@@ -90,29 +90,29 @@
 }
 
 // New starts a relay to target, which may be set later. quiet taps record no bytes.
-func New(log *Log, name, target string, quiet bool) (*Tap, error) {
+func New(log *Log, name, target string, quiet bool) (*Relay, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("tap: %w", err)
 	}
-	t := &Tap{Name: name, log: log, ln: ln, addr: ln.Addr().String(), target: target, gate: make(chan struct{}),
+	t := &Relay{Name: name, log: log, ln: ln, addr: ln.Addr().String(), target: target, gate: make(chan struct{}),
 		conns: map[net.Conn]bool{}, quiet: quiet}
 	go t.accept(ln)
 	return t, nil
 }
 
 // Addr is where it listens.
-func (t *Tap) Addr() string { return t.addr }
+func (t *Relay) Addr() string { return t.addr }
 
 // Target sets the other end.
-func (t *Tap) Target(addr string) {
+func (t *Relay) Target(addr string) {
 	t.mu.Lock()
 	t.target = addr
 	t.mu.Unlock()
 }
 
 // Set switches faults.
-func (t *Tap) Set(f Faults) {
+func (t *Relay) Set(f Faults) {
 	t.mu.Lock()
 	t.faults = f
 	close(t.gate)
@@ -121,7 +121,7 @@
 }
 
 // Refuse stops or begins to take connections, as where no process listens. It cuts those that stand.
-func (t *Tap) Refuse(on bool) error {
+func (t *Relay) Refuse(on bool) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if on {
@@ -147,7 +147,7 @@
 }
 
 // Reset breaks all connections that stand.
-func (t *Tap) Reset() {
+func (t *Relay) Reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.conns {
@@ -156,7 +156,7 @@
 }
 
 // Close ends the tap.
-func (t *Tap) Close() {
+func (t *Relay) Close() {
 	t.mu.Lock()
 	t.closed = true
 	t.mu.Unlock()
@@ -171,7 +171,7 @@
 	c.Close()
 }
 
-func (t *Tap) accept(ln net.Listener) {
+func (t *Relay) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -181,13 +181,13 @@
 	}
 }
 
-func (t *Tap) state() (Faults, chan struct{}) {
+func (t *Relay) state() (Faults, chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.faults, t.gate
 }
 
-func (t *Tap) serve(c net.Conn) {
+func (t *Relay) serve(c net.Conn) {
 	id := int(t.log.conns.Add(1))
 	t.mu.Lock()
 	target := t.target
@@ -218,7 +218,7 @@
 
 // pump carries one direction. What it records as Forth has been read from the side that connected; as Back,
 // has been handed to it. Reading goes on during a stall, so that the end of a side is seen when it happens.
-func (t *Tap) pump(id int, from, to net.Conn, dir Kind, passed *atomic.Int64) {
+func (t *Relay) pump(id int, from, to net.Conn, dir Kind, passed *atomic.Int64) {
 	end := ForthEnd
 	if dir == Back {
 		end = BackEnd
--- a/internal/standin/rehearse/rehearse.go
+++ b/internal/standin/scenario/rehearse.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"bufio"
@@ -24,10 +24,10 @@
 	"headmill/internal/audit"
 	"headmill/internal/bench"
 	"headmill/internal/config"
-	"headmill/internal/standin/box"
+	"headmill/internal/standin/cluster"
+	"headmill/internal/standin/medianode"
 	"headmill/internal/standin/player"
-	"headmill/internal/standin/stage"
-	"headmill/internal/standin/tap"
+	"headmill/internal/standin/relay"
 	"headmill/internal/token"
 )
 
@@ -36,12 +36,12 @@
 	Script *Script
 	Exe    string
 	Dir    string
-	Edit   func(*stage.Spec) // changes the fleet before it starts
+	Edit   func(*cluster.Spec) // changes the fleet before it starts
 	Say    func(format string, args ...any)
 
-	st     *stage.Stage
+	st     *cluster.Cluster
 	mu     sync.Mutex
-	boxF   []box.Faults
+	boxF   []medianode.Faults
 	busy   map[int]bool // boxes that a process trouble has in hand
 	rate   float64
 	ctx    context.Context
@@ -58,16 +58,16 @@
 // Play runs the script to its end and returns the auditor's report.
 func (r *Run) Play() (*audit.Report, error) {
 	s := r.Script
-	spec := stage.Small(s.Directors, s.Boxes, s.Titles, s.LifeS*1000)
+	spec := cluster.Small(s.Directors, s.Boxes, s.Titles, s.LifeS*1000)
 	spec.Exe, spec.Dir, spec.CutTaps = r.Exe, r.Dir, true
 	spec.Base.Attempts.MaxRetryAfterMs = s.AdviceS * 1000
-	spec.Base.Gate.PassAll = s.Gate == "off"
-	spec.Base.Brands = []config.Brand{{Name: brands[0], Share: 0.7}, {Name: brands[1], Share: 0.3}}
+	spec.Base.Admission.PassAll = s.Gate == "off"
+	spec.Base.Tenants = []config.Tenant{{Name: brands[0], Share: 0.7}, {Name: brands[1], Share: 0.3}}
 	if s.Room > 0 {
 		f, b := &spec.Base.Fleet, &spec.Box
-		f.AllLinksKB, f.UplinkKB, b.LinkKB, b.UplinkKB = f.AllLinksKB*s.Room, f.UplinkKB*s.Room, b.LinkKB*s.Room, b.UplinkKB*s.Room
+		f.TotalLinkKB, f.UplinkKB, b.LinkKB, b.UplinkKB = f.TotalLinkKB*s.Room, f.UplinkKB*s.Room, b.LinkKB*s.Room, b.UplinkKB*s.Room
 		b.Places = int(math.Round(float64(b.Places) * s.Room))
-		f.Places = []int{b.Places}
+		f.StreamsByKind = []int{b.Places}
 	}
 	if err := errors.Join(overlay(&spec.Base, s.Settings), overlay(&spec.Box, s.Box)); err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	if r.Edit != nil {
 		r.Edit(&spec)
 	}
-	st, err := stage.New(spec)
+	st, err := cluster.New(spec)
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	if err := st.Start(); err != nil {
 		return nil, err
 	}
-	r.st, r.boxF, r.busy, r.rate = st, make([]box.Faults, s.Boxes), map[int]bool{}, 1
+	r.st, r.boxF, r.busy, r.rate = st, make([]medianode.Faults, s.Boxes), map[int]bool{}, 1
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	began := time.Now()
@@ -158,7 +158,7 @@
 }
 
 // set changes one box's faults.
-func (r *Run) set(i int, change func(*box.Faults)) {
+func (r *Run) set(i int, change func(*medianode.Faults)) {
 	r.mu.Lock()
 	change(&r.boxF[i])
 	f := r.boxF[i]
@@ -181,7 +181,7 @@
 
 func (r *Run) trouble(t Trouble, on []int) {
 	wait := func() { time.Sleep(seconds(t.LenS)) }
-	each := func(begin, end func(f *box.Faults)) {
+	each := func(begin, end func(f *medianode.Faults)) {
 		for _, i := range on {
 			r.set(i, begin)
 		}
@@ -192,7 +192,7 @@
 	}
 	switch t.Name {
 	case "slow":
-		each(func(f *box.Faults) { f.Slow = t.Size }, func(f *box.Faults) { f.Slow = 0 })
+		each(func(f *medianode.Faults) { f.Slow = t.Size }, func(f *medianode.Faults) { f.Slow = 0 })
 	case "origin_slow": // the uplinks of the racks in which the drawn boxes stand
 		racks := map[int]bool{}
 		for _, i := range on {
@@ -204,15 +204,15 @@
 				on = append(on, i)
 			}
 		}
-		each(func(f *box.Faults) { f.Uplink = t.Size }, func(f *box.Faults) { f.Uplink = 0 })
+		each(func(f *medianode.Faults) { f.Uplink = t.Size }, func(f *medianode.Faults) { f.Uplink = 0 })
 	case "fast_errors":
-		each(func(f *box.Faults) { f.Errors = t.Size }, func(f *box.Faults) { f.Errors = 0 })
+		each(func(f *medianode.Faults) { f.Errors = t.Size }, func(f *medianode.Faults) { f.Errors = 0 })
 	case "hang":
-		each(func(f *box.Faults) { f.Hang = true }, func(f *box.Faults) { f.Hang = false })
+		each(func(f *medianode.Faults) { f.Hang = true }, func(f *medianode.Faults) { f.Hang = false })
 	case "answer_lost":
-		each(func(f *box.Faults) { f.Lost = true }, func(f *box.Faults) { f.Lost = false })
+		each(func(f *medianode.Faults) { f.Lost = true }, func(f *medianode.Faults) { f.Lost = false })
 	case "report_late":
-		each(func(f *box.Faults) { f.LateMs = t.Size * 1000 }, func(f *box.Faults) { f.LateMs = 0 })
+		each(func(f *medianode.Faults) { f.LateMs = t.Size * 1000 }, func(f *medianode.Faults) { f.LateMs = 0 })
 	case "burst":
 		r.setRate(t.Size)
 		wait()
@@ -242,7 +242,7 @@
 				defer wg.Done()
 				defer r.take(i, false)
 				r.restartBox(t, r.st.Boxes[i])
-				r.set(i, func(f *box.Faults) { *f = box.Faults{} })
+				r.set(i, func(f *medianode.Faults) { *f = medianode.Faults{} })
 			}()
 		}
 		wg.Wait()
@@ -269,14 +269,14 @@
 
 // restartBox takes a box down and starts it again cold. One that vanishes is stopped without a word, and its
 // machine does not even reset what stands.
-func (r *Run) restartBox(t Trouble, m *stage.Member) {
+func (r *Run) restartBox(t Trouble, m *cluster.Member) {
 	if t.Name == "vanish" {
 		r.st.Log.Mark(m.Name, "vanished")
-		m.Front.Set(tap.Faults{Stall: true})
+		m.Front.Set(relay.Faults{Stall: true})
 		m.Proc.Kill()
 		time.Sleep(seconds(t.LenS))
 		m.Front.Refuse(true)
-		m.Front.Set(tap.Faults{})
+		m.Front.Set(relay.Faults{})
 	} else {
 		r.st.Log.Mark(m.Name, "killed")
 		m.Proc.Kill()
@@ -334,19 +334,19 @@
 	s, st := r.Script, r.st
 	titles := st.Spec.Base.Titles
 	t := &titles[int(float64(len(titles))*math.Pow(rng.Float64(), 1.5))] // some are wanted far more than others
-	k := &st.Spec.Base.Classes[st.Spec.Base.ClassNumber(t.Class)]
+	k := &st.Spec.Base.Classes[st.Spec.Base.ClassIndex(t.Class)]
 	viewer, top := fmt.Sprintf("v%d", r.nth.Add(1)), len(st.Spec.Base.Ladder.RateKB)-1
 	if rng.Float64() < 0.2 {
 		top--
 	}
 	tries := 0
-	w := player.Wish{Title: t.Name, Class: t.Class, Paid: k.Repeat == "once", GiveUp: time.Duration(k.GiveUpMs) * time.Millisecond,
+	w := player.Wish{Title: t.Name, Class: t.Class, Paid: k.Semantics == "once", GiveUp: time.Duration(k.GiveUpMs) * time.Millisecond,
 		Length: time.Duration(t.DurationMs) * time.Millisecond, Seed: rng.Uint64(), Double: rng.Float64() < s.Double,
 		Socket: rng.Float64() < s.Socket,
 		Token: func() string {
 			tries++
 			now := time.Now()
-			raw, err := st.Key.Mint(token.Claims{Title: t.Name, Class: t.Class, Brand: brands[brand], Top: top,
+			raw, err := st.Key.Mint(token.Claims{Title: t.Name, Class: t.Class, Tenant: brands[brand], MaxRung: top,
 				RegisteredClaims: jwt.RegisteredClaims{Subject: viewer, ID: fmt.Sprintf("%s-%d", viewer, tries),
 					IssuedAt: jwt.NewNumericDate(now), ExpiresAt: jwt.NewNumericDate(now.Add(10 * time.Minute))}})
 			if err != nil {
@@ -410,14 +410,14 @@
 }
 
 // Terms is what the auditor is told of the fleet: the terms of service, not what any director thinks.
-func Terms(st *stage.Stage) audit.Terms {
+func Terms(st *cluster.Cluster) audit.Terms {
 	b, x := &st.Spec.Base, &st.Spec.Box
 	t := audit.Terms{Classes: map[string]audit.Class{}, Titles: map[string]audit.Title{}, Boxes: map[string]string{},
 		Worth: b.Ladder.Worth, SlackMs: 40, GraceMs: 250, Places: float64(x.Places), WarmMs: x.WarmMs,
 		ColdFrom: x.ColdFrom, Factor: x.Factor, TipMs: x.TipMs, Shortfall: 6}
 	for _, k := range b.Classes {
-		t.Classes[k.Name] = audit.Class{Once: k.Repeat == "once", AimMs: k.AimMs, GiveUpMs: k.GiveUpMs, Value: k.Value,
-			Floor: k.Floor, Seats: k.Seats}
+		t.Classes[k.Name] = audit.Class{AtMostOnce: k.Semantics == "once", TargetMs: k.TargetMs, GiveUpMs: k.GiveUpMs, Value: k.Value,
+			Floor: k.MinRung, Seats: k.MaxPerTitle}
 	}
 	for _, v := range b.Titles {
 		t.Titles[v.Name] = audit.Title{Class: v.Class, DurationMs: v.DurationMs}
--- a/internal/standin/rehearse/script.go
+++ b/internal/standin/scenario/script.go
@@ -1,7 +1,7 @@
 // Package rehearse plays a scripted bad day against real directors: it draws
 // viewers, injects the script's troubles into boxes, relays and processes, and
 // hands what the relays saw to the auditor.
-package rehearse
+package scenario
 
 import (
 	"bytes"
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -101,36 +101,36 @@
 	_, rationed := t.kv["safety.repeat_ratio"]
 	_, least := t.kv["safety.min_extra"]
 	c := headmill.Config{
-		Me: t.int("me"), Fronts: t.int("replicas_of_me"), Zone: t.int("zone"),
+		Self: t.int("me"), Fronts: t.int("replicas_of_me"), Zone: t.int("zone"),
 		RateKB: t.nums(fam + "level_kb"), RungWorth: t.nums(fam + "ladder_worth"),
 		Cells: t.int(fam + "cells"), Racks: t.int(fam + "racks"),
-		LinkUnitKB: t.num(fam + "link_unit_kb"), AllLinksKB: t.num(fam + "all_links_kb"),
+		LinkKBPerWeight: t.num(fam + "link_unit_kb"), TotalLinkKB: t.num(fam + "all_links_kb"),
 		UplinkKB: t.num(fam + "uplink_kb"), WeightsKnown: t.str("weights") != "off" && t.str("weights") != "",
-		SwitchS: t.num(fam + "switch_s"),
-		TellMs:  t.num(fam + "tell_ms"), ToldLateMs: t.num(fam + "told_late_ms"),
+		RungChangeCostS:  t.num(fam + "switch_s"),
+		ReportIntervalMs: t.num(fam + "tell_ms"), ReportDelayMs: t.num(fam + "told_late_ms"),
 		MaxAttempts:     t.int("allowed.max_attempts"),
 		MaxRetryAfterMs: t.num("allowed.max_retry_after_ms"), RetryAfter: t.bool("allowed.retry_after"),
-		Subscribe:    t.str("discovery") == "subscribe",
-		WarmWithinMs: t.num("safety.warm_within_ms"), ColdFrom: t.num("safety.cold_from"),
-		TipMs: t.num("safety.tip_after_ms"), ConnectMs: t.num("allowed.connect_timeout_ms"),
-		RetryRationed: rationed || least, MinExtra: t.num("safety.min_extra"),
-		RepeatRatio: t.num("safety.repeat_ratio"), LookBackMs: t.num("safety.look_back_ms"),
+		SubscribeToNodes: t.str("discovery") == "subscribe",
+		WarmUpMs:         t.num("safety.warm_within_ms"), ColdRateFraction: t.num("safety.cold_from"),
+		ColdWindowMs: t.num("safety.tip_after_ms"), ConnectTimeoutMs: t.num("allowed.connect_timeout_ms"),
+		RetryBudget: rationed || least, RetryBudgetMin: t.num("safety.min_extra"),
+		RetryBudgetRatio: t.num("safety.repeat_ratio"), RetryBudgetWindowMs: t.num("safety.look_back_ms"),
 	}
 	for _, p := range t.nums(fam + "places_by_kind") {
-		c.Places = append(c.Places, int(p))
+		c.StreamsByKind = append(c.StreamsByKind, int(p))
 	}
 	for i := range t.count("categories") {
 		p := fmt.Sprintf("categories.%d.", i)
-		k := headmill.Class{AimMs: t.num(p + "slo_ms"),
+		k := headmill.Class{TargetMs: t.num(p + "slo_ms"),
 			KeyTTLMs: t.num(p + "key_ttl_ms"), Value: t.num(p + "value"),
-			Scale: at(scales, i, 1), Floor: int(at(floors, i, 0)),
-			Top: int(at(tops, i, float64(len(c.RateKB)-1))), Seats: int(at(seats, i, 0))}
+			RateScale: at(scales, i, 1), MinRung: int(at(floors, i, 0)),
+			MaxRung: int(at(tops, i, float64(len(c.RateKB)-1))), MaxPerTitle: int(at(seats, i, 0))}
 		switch t.str(p + "semantics") {
 		case "repeatable":
 		case "by_key":
-			k.Repeat = headmill.ByKey
+			k.Semantics = headmill.IdempotentByKey
 		default: // a word that is not known is taken as the strictest one
-			k.Repeat = headmill.Once
+			k.Semantics = headmill.AtMostOnce
 		}
 		switch t.str(p + "key_scope") {
 		case "zone":
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -34,7 +34,7 @@
 
 // Decoder reads batches; it keeps the numbered server lists of the process.
 type Decoder struct {
-	lists  [maxListSlot][]headmill.Server
+	lists  [maxListSlot][]headmill.Node
 	fields map[uint16][]string
 	msgs   []Message
 	buf    []byte
@@ -105,8 +105,8 @@
 func f64(b []byte) float64 { return math.Float64frombits(u64(b)) }
 func f32(b []byte) float64 { return float64(math.Float32frombits(u32(b))) }
 
-func serverID(b []byte) headmill.ServerID {
-	return headmill.ServerID(u32(b)) | headmill.ServerID(u16(b[4:]))<<32
+func serverID(b []byte) headmill.NodeID {
+	return headmill.NodeID(u32(b)) | headmill.NodeID(u16(b[4:]))<<32
 }
 
 // whole turns a float field that holds a small count into an int.
@@ -149,7 +149,7 @@
 		if !ok || math.IsNaN(v) || math.IsInf(v, 0) {
 			continue
 		}
-		r.Told = true
+		r.Present = true
 		switch name {
 		case "outstanding":
 			r.Streams = v
@@ -172,15 +172,15 @@
 	ev := &m.Event
 	switch b[0] {
 	case 1: // SIGNAL
-		ev.Kind, ev.Session = headmill.EvNote, headmill.SessionID(u32(b[3:]))
-		ev.Server, ev.Note, ev.Value = serverID(b[9:]), headmill.NoteKind(b[15]), f32(b[16:])
+		ev.Kind, ev.Session = headmill.EvFeedback, headmill.SessionID(u32(b[3:]))
+		ev.Node, ev.Feedback, ev.Value = serverID(b[9:]), headmill.FeedbackKind(b[15]), f32(b[16:])
 	case 2: // HEADERS
-		ev.Kind, ev.Session = headmill.EvPlaying, headmill.SessionID(u32(b[3:]))
-		ev.Server, ev.TookMs = serverID(b[9:]), f64(b[15:])
+		ev.Kind, ev.Session = headmill.EvAttemptPlaying, headmill.SessionID(u32(b[3:]))
+		ev.Node, ev.LatencyMs = serverID(b[9:]), f64(b[15:])
 	case 3: // QUERY
 		ev.Kind, ev.Session, ev.Class = headmill.EvRequest, headmill.SessionID(u32(b[3:])), int(u16(b[7:]))
 		ev.Title = u64(b[21:])
-		ev.RemainingMs = f64(b[29:])
+		ev.TimeLeftMs = f64(b[29:])
 		err = sessionTail(ev, b[37:], b[45:], b[49:], b[53:], b[57])
 	case 4: // BELL
 		ev.Kind, ev.Timer = headmill.EvTimer, u64(b[3:])
@@ -188,27 +188,27 @@
 		_, err = span(b[5:], tail, 1)
 		return m, false, err // fronts here do not post
 	case 6: // PREEXISTING
-		ev.Kind, ev.Session = headmill.EvExisting, headmill.SessionID(u32(b[3:]))
-		ev.Server, ev.RemainingMs = serverID(b[15:]), f64(b[46:])
+		ev.Kind, ev.Session = headmill.EvExistingSession, headmill.SessionID(u32(b[3:]))
+		ev.Node, ev.TimeLeftMs = serverID(b[15:]), f64(b[46:])
 		ev.Class, ev.Title = int(u16(b[54:])), u64(b[56:])
 		err = sessionTail(ev, b[38:], b[26:], b[34:], b[21:], b[25])
 	case 7: // SYNC
-		ev.Kind = headmill.EvServers
+		ev.Kind = headmill.EvNodes
 		switch b[3] {
 		case 0, 1:
 		case 2:
-			ev.ListFailed = true
+			ev.ListUnavailable = true
 		case 4:
 			ev.Delta = true
 		default:
 			return m, false, fmt.Errorf("list of kind %d", b[3])
 		}
-		if !ev.ListFailed {
+		if !ev.ListUnavailable {
 			slot := u32(b[12:])
 			if slot >= maxListSlot {
 				return m, false, fmt.Errorf("list number %d", slot)
 			}
-			ev.Servers = d.lists[slot]
+			ev.Nodes = d.lists[slot]
 		}
 	case 8: // HEALTH_RESULT
 		_, err = d.report(m.Instance, b[19:])
@@ -224,11 +224,11 @@
 			}
 		}
 	case 10: // WITHDRAWN
-		ev.Kind, ev.Session = headmill.EvGone, headmill.SessionID(u32(b[3:]))
+		ev.Kind, ev.Session = headmill.EvViewerLeft, headmill.SessionID(u32(b[3:]))
 	case 11: // SETTLED
-		ev.Kind, ev.Session, ev.Finished = headmill.EvSettled, headmill.SessionID(u32(b[3:])), b[7] != 0
-		ev.TookMs, ev.Outcome = f64(b[10:]), headmill.Outcome(u16(b[18:]))
-		ev.Server = serverID(b[20:])
+		ev.Kind, ev.Session, ev.SessionOver = headmill.EvAttemptEnded, headmill.SessionID(u32(b[3:])), b[7] != 0
+		ev.LatencyMs, ev.Outcome = f64(b[10:]), headmill.Outcome(u16(b[18:]))
+		ev.Node = serverID(b[20:])
 		ev.Report, err = d.report(m.Instance, b[26:])
 	case 12: // LIST
 		return m, false, d.list(b, tail)
@@ -241,17 +241,17 @@
 }
 
 func sessionTail(ev *headmill.Event, hint, home, copies, top []byte, flags byte) (err error) {
-	if ev.Home, err = whole(home); err != nil {
+	if ev.FirstCell, err = whole(home); err != nil {
 		return fmt.Errorf("base: %w", err)
 	}
 	if ev.Copies, err = whole(copies); err != nil {
 		return fmt.Errorf("spread: %w", err)
 	}
-	if ev.TopRung, err = whole(top); err != nil {
+	if ev.MaxRung, err = whole(top); err != nil {
 		return fmt.Errorf("ceiling_rung: %w", err)
 	}
 	if flags&1 != 0 {
-		ev.HintMs = f64(hint)
+		ev.DurationHintMs = f64(hint)
 	}
 	return nil
 }
@@ -265,10 +265,10 @@
 	if err != nil {
 		return err
 	}
-	entries := make([]headmill.Server, 0, len(raw)/entrySize)
+	entries := make([]headmill.Node, 0, len(raw)/entrySize)
 	for ; len(raw) > 0; raw = raw[entrySize:] {
-		entries = append(entries, headmill.Server{
-			UpSinceMs: f64(raw), Cell: int(u16(raw[8:])), Health: headmill.Health(raw[10]),
+		entries = append(entries, headmill.Node{
+			StartedAtMs: f64(raw), Cell: int(u16(raw[8:])), Health: headmill.Health(raw[10]),
 			Weight: f32(raw[11:]), ID: serverID(raw[15:]), Kind: int(raw[21]), Zone: int(raw[22])})
 	}
 	d.lists[slot] = entries
@@ -291,13 +291,13 @@
 	le.PutUint16(r[1:], instance)
 	le.PutUint32(r[3:], uint32(a.Session))
 	switch a.Kind {
-	case headmill.ActSend:
+	case headmill.ActSetup:
 		r[0] = 1
-		putServer(r[7:], a.Server)
+		putServer(r[7:], a.Node)
 		le.PutUint64(r[13:], math.Float64bits(a.AtMs))
 	case headmill.ActRefuse:
 		r[0] = 2
-		le.PutUint64(r[7:], math.Float64bits(a.RetryMs))
+		le.PutUint64(r[7:], math.Float64bits(a.RetryAfterMs))
 	case headmill.ActFail:
 		r[0] = 3
 	case headmill.ActTimer:
@@ -309,9 +309,9 @@
 		le.PutUint32(r[3:], uint32(len(e.tail)))
 		le.PutUint32(r[7:], uint32(len(a.Text)))
 		e.tail = append(e.tail, a.Text...)
-	case headmill.ActWatch:
+	case headmill.ActSubscribe:
 		r[0], r[3] = 11, 1
-	case headmill.ActRung:
+	case headmill.ActSetRung:
 		if a.Rung < 0 || a.Rung > 255 {
 			return fmt.Errorf("wire: rung %d", a.Rung)
 		}
@@ -324,7 +324,7 @@
 	return nil
 }
 
-func putServer(b []byte, id headmill.ServerID) {
+func putServer(b []byte, id headmill.NodeID) {
 	binary.LittleEndian.PutUint32(b, uint32(id))
 	binary.LittleEndian.PutUint16(b[4:], uint16(id>>32))
 }
