--- a/api.go
+++ b/api.go
@@ -1,14 +1,29 @@
-// Package headmill decides for a session controller (a "front") of a fleet of
-// media servers: where a new session is set up, at which rung of the rate
-// ladder, when a rung changes, and when a session is refused.
+// Package headmill is the decision module of a session director: it places video sessions on a fleet of media
+// nodes by the token routing of the DALA paper, chooses and changes their rungs of the rate ladder, and refuses
+// requests that do not fit.
 //
-// This file is the interface. A caller builds a Config, makes one Controller
-// for each front with New, hands it events with Step and carries out the
-// returned actions in their order. All decisions are in controller.go.
+// One Controller decides for one front, which is one director's instance of this module. Its inputs are a
+// Config and a stream of events: node lists, requests, load feedback, and the outcomes of attempts. Its
+// outputs are actions: set-ups, rungs, refusals, timers and log lines. A caller passes events to
+// Controller.Step and carries out the returned actions in their order. This file is the interface; all
+// decisions are in controller.go.
 //
-// Times are milliseconds on the caller's clock, which must not run backwards;
-// rates are kB a second. A Controller keeps no goroutine, reads no clock and
-// is not safe for concurrent use; separate Controllers share nothing.
+// For each request a front
+//
+//   - estimates the load of each link and uplink from the last measurement and its own changes since then;
+//   - skips nodes that its circuit breaker has ejected, for an exponential back-off, after failures;
+//   - computes a shadow price of capacity, and from it the rung to start with;
+//   - keeps a title on the node that holds its placement token, as long as that node passes an admission
+//     test with headroom, and otherwise moves the token to the least-loaded holder that passes;
+//   - lowers the rungs of sessions that earn less per kB, or tries lower rungs, before it refuses.
+//
+// Further attempts are limited by the class's semantics and by a retry budget, and nodes that warm up get
+// set-ups at a slow-start pace. Between requests a timer lowers rungs on overloaded links and raises them
+// where capacity is free; the load limits of the two differ, and a rung is held for a while after a change,
+// so that rungs do not flap.
+//
+// Times are milliseconds on the caller's clock, which must not run backwards; rates are kB/s. A Controller
+// starts no goroutine, reads no clock and is not safe for concurrent use; separate Controllers share nothing.
 package headmill
 
 import (
@@ -16,16 +31,17 @@
 	"math"
 )
 
-// Loads of a link or uplink, asked over given: up to FillTo set-ups may fill it, up to RaiseTo rungs are raised.
+// MaxSetupLoad and MaxRaiseLoad limit the load (demand over capacity) of a link or uplink: set-ups are
+// admitted up to the first, rungs are raised up to the second.
 const (
 	MaxSetupLoad = 0.90
 	MaxRaiseLoad = 0.80
 )
 
-// ServerID is an opaque name of a media server: 4 address bytes and a port.
+// NodeID is the opaque name of a media node: 4 address bytes and a port.
 type NodeID uint64
 
-// SessionID names one request for a session; ids never come twice.
+// SessionID names one request for a session. IDs are never reused.
 type SessionID uint32
 
 // Semantics tells whether a set-up may be repeated.
@@ -34,11 +50,11 @@
 // The semantics of a class.
 const (
 	Repeatable      Semantics = iota // may be repeated freely
-	AtMostOnce                       // never again once an attempt may have run
+	AtMostOnce                       // never again once an attempt may have taken effect
 	IdempotentByKey                  // again only within KeyScope and KeyTTLMs
 )
 
-// Scope is the group of servers within which a ByKey set-up may be repeated.
+// Scope is the group of media nodes within which a set-up that is IdempotentByKey may be repeated.
 type Scope uint8
 
 // The scopes.
@@ -50,81 +66,82 @@
 
 // Class is one kind of session.
 type Class struct {
-	TargetMs    float64 // a set-up should play within this
-	Semantics   Semantics
-	KeyScope    Scope
-	KeyTTLMs    float64
-	Value       float64 // worth of one second at a rung of worth 1
-	RateScale   float64 // rates of the class over those of the ladder
-	MinRung     int     // lowest rung that may be set
-	MaxRung     int     // highest rung
-	MaxPerTitle int     // sessions of one title a front may hold; 0 = no cap
+	TargetMs    float64   // time within which a set-up should play
+	Semantics   Semantics // whether a set-up may be repeated
+	KeyScope    Scope     // for IdempotentByKey: where a set-up may be repeated
+	KeyTTLMs    float64   // for IdempotentByKey: for how long
+	Value       float64   // worth of one second at a rung of worth 1
+	RateScale   float64   // factor on the rates of the ladder
+	MinRung     int       // lowest rung that may be set
+	MaxRung     int       // highest rung that may be set
+	MaxPerTitle int       // session cap for one title at a front; 0 = none
 }
 
-// Config is what a front is told at its start. Figures of zero mean "not stated".
+// Config is the configuration of a front. A zero means that a value is not stated.
 type Config struct {
-	Self, Fronts        int
-	Zone                int // the front's own, as in Server.Zone
-	Classes             []Class
-	RateKB              []float64 // the ladder
-	RungWorth           []float64 // what each rung earns
+	Self                int       // index of this front
+	Fronts              int       // number of fronts
+	Zone                int       // the front's own zone, as in Node.Zone
+	Classes             []Class   // indexed by Event.Class
+	RateKB              []float64 // the ladder: rate of each rung
+	RungWorth           []float64 // what a second at each rung earns
 	Cells, Racks        int
-	StreamsByKind       []int   // streams a server of each kind runs at most
-	LinkKBPerWeight     float64 // link for each unit of a server's weight
-	TotalLinkKB         float64 // all links together at the start
-	UplinkKB            float64 // mean uplink of a rack
-	WeightsKnown        bool    // Server.Weight tells sizes apart
-	RungChangeCostS     float64 // price of a rung change, seconds of worth
-	ReportIntervalMs    float64 // time between load notes; 0 = none
-	ReportDelayMs       float64 // how late notes are
-	MaxAttempts         int
-	MaxRetryAfterMs     float64
-	RetryAfter          bool
-	SubscribeToNodes    bool // the server list must be asked for
-	WarmUpMs            float64
-	ColdRateFraction    float64
-	ColdWindowMs        float64 // time in which a cold server bears what its pace allows, and a little more for chance
-	ConnectTimeoutMs    float64 // that a set-up may wait for a connection
-	RetryBudget         bool    // the three figures below apply
-	RetryBudgetMin      float64
-	RetryBudgetRatio    float64
+	StreamsByKind       []int   // limit of concurrent streams of each kind of node
+	LinkKBPerWeight     float64 // link capacity for each unit of Node.Weight
+	TotalLinkKB         float64 // capacity of all links together at the start
+	UplinkKB            float64 // mean capacity of a rack's uplink
+	WeightsKnown        bool    // Node.Weight tells the nodes' sizes apart
+	RungChangeCostS     float64 // cost of a rung change, in seconds of worth
+	ReportIntervalMs    float64 // time between two measurements of a load; 0 = none are sent
+	ReportDelayMs       float64 // age of a measurement on arrival
+	MaxAttempts         int     // attempts for one request
+	MaxRetryAfterMs     float64 // retry time that a refusal advises if RetryAfter is set
+	RetryAfter          bool    // refusals advise when to retry
+	SubscribeToNodes    bool    // the node list must be subscribed to
+	WarmUpMs            float64 // time for which a started node is cold
+	ColdRateFraction    float64 // lowest set-up rate of a cold node, as a fraction of its streams per WarmUpMs
+	ColdWindowMs        float64 // window in which a cold node bears its set-up rate plus a random excess
+	ConnectTimeoutMs    float64 // time that a set-up may wait for a connection
+	RetryBudget         bool    // the three fields below apply
+	RetryBudgetMin      float64 // further attempts that are always allowed within the window
+	RetryBudgetRatio    float64 // further attempts allowed for each request within the window
 	RetryBudgetWindowMs float64
 }
 
-// Health is what the server list says of a server.
+// Health is the state of a media node in the node list.
 type Health uint8
 
-// The states of the server list.
+// The health states.
 const (
 	Ready Health = iota
 	Gone
 	Draining
 )
 
-// Server is one entry of the server list.
+// Node is one entry of the node list.
 type Node struct {
 	ID          NodeID
 	StartedAtMs float64 // last start; 0 = long ago
 	Cell        int     // its rack is Cell mod Config.Racks
 	Health      Health
-	Weight      float64
-	Kind        int
+	Weight      float64 // size of its link, if Config.WeightsKnown
+	Kind        int     // index in Config.StreamsByKind
 	Zone        int
 }
 
-// Outcome is the end of an attempt.
+// Outcome is the result of an attempt.
 type Outcome uint16
 
-// The outcomes. Full, ConnectFailed and Moot prove that nothing ran.
+// The outcomes. Full, ConnectFailed and NeverSent prove that the set-up has not run.
 const (
-	Failed Outcome = iota
-	Served
-	Full
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	NeverSent
+	Failed        Outcome = iota // the node answered with an error
+	Served                       // the session ended normally
+	Full                         // the node has no capacity
+	TimedOut                     // no answer in time
+	ConnectFailed                // no connection to the node
+	Reset                        // the connection broke
+	Cancelled                    // cancelled before it ended
+	NeverSent                    // the set-up did not leave the front
 )
 
 // EventKind tells which fields of an Event are set.
@@ -132,57 +149,58 @@
 
 // The events.
 const (
-	EvNodes           EventKind = iota // Servers, Delta, ListFailed
-	EvRequest                          // a viewer wants a session
-	EvExistingSession                  // a session under way at the start, on Server
-	EvAttemptPlaying                   // attempt plays: Session, Attempt, Server, TookMs
-	EvFeedback                         // Session, Server, Note, Value
-	EvAttemptEnded                     // attempt ended: Outcome, Finished, Report
-	EvViewerLeft                       // the viewer left
-	EvTimer                            // Timer
+	EvNodes           EventKind = iota // node list: Nodes, Delta, ListUnavailable
+	EvRequest                          // a viewer requests a session
+	EvExistingSession                  // a session that was under way at the start, on Node
+	EvAttemptPlaying                   // an attempt plays: Session, Node, LatencyMs
+	EvFeedback                         // a measurement: Session, Node, Feedback, Value
+	EvAttemptEnded                     // an attempt or session ended: Outcome, SessionOver, Report
+	EvViewerLeft                       // the viewer left: Session
+	EvTimer                            // a timer of ActTimer expired: Timer
 )
 
-// NoteKind is the subject of a note on a session.
+// FeedbackKind is the subject of an EvFeedback.
 type FeedbackKind uint8
 
-// The notes. Link and uplink loads are what is asked over what is given.
+// The kinds of feedback. Loads are demand over capacity.
 const (
-	FeedbackRateShare FeedbackKind = 1 + iota // share of their rates that sessions there got
-	FeedbackRung                              // the rung in force
-	FeedbackLinkLoad
-	FeedbackUplinkLoad
+	FeedbackRateShare  FeedbackKind = 1 + iota // share of their rates that the node's sessions got
+	FeedbackRung                               // the rung in force
+	FeedbackLinkLoad                           // load of the node's link
+	FeedbackUplinkLoad                         // load of the rack's uplink
 )
 
-// Report is a server's load report; fields that were not told are negative.
+// Report is the load report of a media node. Fields that it did not state are negative.
 type Report struct {
-	Present      bool
-	Streams      float64
-	Link, Uplink float64
+	Present bool    // the event carries a report
+	Streams float64 // concurrent streams of all fronts
+	Link    float64 // load of the link
+	Uplink  float64 // load of the rack's uplink
 }
 
-// Event is one thing a front hears. Events of a Step happen at its time, in order.
+// Event is one input of a front. The events of a Step happen at its time, in order.
 type Event struct {
 	Kind            EventKind
 	Session         SessionID
 	Node            NodeID
-	Class           int
+	Class           int // index in Config.Classes
 	Title           uint64
-	TimeLeftMs      float64 // until the viewer gives up this try
-	DurationHintMs  float64 // rough length of the session; 0 = none
+	TimeLeftMs      float64 // time until the viewer gives up
+	DurationHintMs  float64 // approximate length of the session; 0 = unknown
 	FirstCell       int     // first cell that holds the title
-	Copies          int     // cells in a row that hold it
+	Copies          int     // number of consecutive cells that hold it
 	MaxRung         int     // highest rung of this viewer
-	Headroom        float64 // share of a server's places that must stay free beside it
-	LatencyMs       float64
+	Headroom        float64 // share of a node's streams that must stay free beside this session
+	LatencyMs       float64 // time that the attempt has taken so far
 	Outcome         Outcome
-	SessionOver     bool
+	SessionOver     bool // the session is over: no further attempt
 	Report          Report
 	Feedback        FeedbackKind
-	Value           float64
+	Value           float64 // of the feedback
 	Timer           uint64
 	Nodes           []Node // only read during Step
-	Delta           bool   // Servers holds changed entries only
-	ListUnavailable bool
+	Delta           bool   // Nodes holds changed entries only
+	ListUnavailable bool   // the node list could not be read; Nodes is not used
 }
 
 // ActionKind tells which fields of an Action are set.
@@ -190,85 +208,96 @@
 
 // The actions.
 const (
-	ActSetup     ActionKind = iota // set Session up at Server, time-out AtMs
-	ActRefuse                      // final answer, RetryMs as advice (0 = none)
-	ActFail                        // final answer, no promise of its effect
-	ActSetRung                     // set Rung
-	ActTimer                       // an EvTimer named Timer at AtMs
-	ActSubscribe                   // subscribe to the server list
-	ActLog                         // Text for the person on call
+	ActSetup     ActionKind = iota // set up Session on Node, with a time-out of AtMs
+	ActRefuse                      // final answer: the viewer may retry, RetryAfterMs as advice (0 = none)
+	ActFail                        // final answer: a set-up may have taken effect, and a retry may repeat it
+	ActSetRung                     // set the rung of Session to Rung
+	ActTimer                       // send an EvTimer with this Timer at AtMs
+	ActSubscribe                   // subscribe to the node list
+	ActLog                         // log Text for the operator
 )
 
-// Action is one thing a front is to do, in the order given.
+// Action is one thing that a front is to do, in the order given.
 type Action struct {
 	Kind         ActionKind
 	Session      SessionID
 	Node         NodeID
 	Rung         int
-	AtMs         float64 // time-out of ActSend (0 = until the viewer gives up), time of ActTimer
+	AtMs         float64 // ActSetup: time-out as a duration, 0 = until the viewer gives up; ActTimer: time
 	RetryAfterMs float64
 	Timer        uint64
 	Text         string
 }
 
-// Validate reports the first field of c whose shape no front could work with.
+// Validate returns an error for the first field of c that no front could work with.
 func (c *Config) Validate() error {
 	if len(c.Classes) == 0 {
 		return fmt.Errorf("headmill: Classes is empty")
 	}
 	if len(c.RateKB) == 0 || len(c.RateKB) != len(c.RungWorth) {
-		return fmt.Errorf("headmill: RateKB has %d rungs and RungWorth %d", len(c.RateKB), len(c.RungWorth))
+		return fmt.Errorf("headmill: RateKB has %d rungs and RungWorth %d; they must have the same, at least one",
+			len(c.RateKB), len(c.RungWorth))
 	}
 	if c.Fronts < 1 || c.Self < 0 || c.Self >= c.Fronts {
-		return fmt.Errorf("headmill: Me is %d of Fronts %d", c.Self, c.Fronts)
+		return fmt.Errorf("headmill: Self is %d, which is no index of Fronts %d", c.Self, c.Fronts)
 	}
 	if c.Cells < 1 || c.Racks < 1 || c.MaxAttempts < 1 {
 		return fmt.Errorf("headmill: Cells %d, Racks %d and MaxAttempts %d must be positive",
 			c.Cells, c.Racks, c.MaxAttempts)
 	}
-	for i, r := range c.RateKB {
-		if !(r > 0) || math.IsInf(r, 0) || (i > 0 && r <= c.RateKB[i-1]) {
-			return fmt.Errorf("headmill: RateKB[%d] is %v; rates must be positive, finite and rising", i, r)
+	for i, rate := range c.RateKB {
+		if !(rate > 0) || math.IsInf(rate, 0) || (i > 0 && rate <= c.RateKB[i-1]) {
+			return fmt.Errorf("headmill: RateKB[%d] is %v; rates must be positive, finite and rising", i, rate)
 		}
 	}
-	for i, w := range c.RungWorth {
-		if !figure(w) {
-			return fmt.Errorf("headmill: RungWorth[%d] is %v", i, w)
+	for i, worth := range c.RungWorth {
+		if !nonNegativeFinite(worth) {
+			return fmt.Errorf("headmill: RungWorth[%d] is %v; it must be finite and not negative", i, worth)
 		}
 	}
-	for i, n := range c.StreamsByKind {
-		if n < 0 {
-			return fmt.Errorf("headmill: Places[%d] is %d", i, n)
+	for i, streams := range c.StreamsByKind {
+		if streams < 0 {
+			return fmt.Errorf("headmill: StreamsByKind[%d] is %d; it must not be negative", i, streams)
 		}
 	}
-	for i, k := range c.Classes {
-		if !figure(k.TargetMs) || !figure(k.KeyTTLMs) || !figure(k.Value) || !figure(k.RateScale) {
-			return fmt.Errorf("headmill: Classes[%d] has a negative or non-finite figure", i)
+	for i, class := range c.Classes {
+		if !nonNegativeFinite(class.TargetMs) || !nonNegativeFinite(class.KeyTTLMs) ||
+			!nonNegativeFinite(class.Value) || !nonNegativeFinite(class.RateScale) {
+			return fmt.Errorf("headmill: Classes[%d] has a negative or non-finite number", i)
 		}
-		if k.RateScale == 0 || k.MinRung < 0 || k.MinRung >= len(c.RateKB) || k.MaxRung < k.MinRung || k.MaxPerTitle < 0 {
-			return fmt.Errorf("headmill: Classes[%d]: scale %v, floor %d, top %d, seats %d do not fit %d rungs",
-				i, k.RateScale, k.MinRung, k.MaxRung, k.MaxPerTitle, len(c.RateKB))
+		if class.RateScale == 0 || class.MinRung < 0 || class.MinRung >= len(c.RateKB) ||
+			class.MaxRung < class.MinRung || class.MaxPerTitle < 0 {
+			return fmt.Errorf(
+				"headmill: Classes[%d]: RateScale %v, MinRung %d, MaxRung %d and MaxPerTitle %d do not fit %d rungs",
+				i, class.RateScale, class.MinRung, class.MaxRung, class.MaxPerTitle, len(c.RateKB))
 		}
 	}
-	for _, f := range []struct {
-		name string
-		v    float64
+	// The names in these messages are fixed, also where they differ from the fields' names.
+	for _, field := range []struct {
+		name  string
+		value float64
 	}{
-		{"LinkUnitKB", c.LinkKBPerWeight}, {"AllLinksKB", c.TotalLinkKB},
+		{"LinkUnitKB", c.LinkKBPerWeight},
+		{"AllLinksKB", c.TotalLinkKB},
 		{"UplinkKB", c.UplinkKB},
-		{"SwitchS", c.RungChangeCostS}, {"TellMs", c.ReportIntervalMs}, {"ToldLateMs", c.ReportDelayMs},
+		{"SwitchS", c.RungChangeCostS},
+		{"TellMs", c.ReportIntervalMs},
+		{"ToldLateMs", c.ReportDelayMs},
 		{"MaxRetryAfterMs", c.MaxRetryAfterMs},
-
 		{"WarmWithinMs", c.WarmUpMs},
-		{"ColdFrom", c.ColdRateFraction}, {"TipMs", c.ColdWindowMs}, {"ConnectMs", c.ConnectTimeoutMs},
-		{"MinExtra", c.RetryBudgetMin}, {"RepeatRatio", c.RetryBudgetRatio},
+		{"ColdFrom", c.ColdRateFraction},
+		{"TipMs", c.ColdWindowMs},
+		{"ConnectMs", c.ConnectTimeoutMs},
+		{"MinExtra", c.RetryBudgetMin},
+		{"RepeatRatio", c.RetryBudgetRatio},
 		{"LookBackMs", c.RetryBudgetWindowMs},
 	} {
-		if !figure(f.v) {
-			return fmt.Errorf("headmill: %s is %v", f.name, f.v)
+		if !nonNegativeFinite(field.value) {
+			return fmt.Errorf("headmill: %s is %v; it must be finite and not negative", field.name, field.value)
 		}
 	}
 	return nil
 }
 
-func figure(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+// nonNegativeFinite reports whether v is a number that is neither negative, infinite nor NaN.
+func nonNegativeFinite(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
--- a/api_test.go
+++ b/api_test.go
@@ -9,17 +9,17 @@
 	"testing"
 )
 
-func TestValidateNamesTheField(t *testing.T) {
+func TestValidateErrorNamesTheField(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
 		"Classes is empty": func(c *Config) { c.Classes = nil },
 		"RungWorth":        func(c *Config) { c.RungWorth = c.RungWorth[:1] },
 		"RateKB[1]":        func(c *Config) { c.RateKB[1] = math.NaN() },
 		"RungWorth[0]":     func(c *Config) { c.RungWorth[0] = -1 },
 		"Classes[0]":       func(c *Config) { c.Classes[0].Value = math.Inf(1) },
-		"floor 7":          func(c *Config) { c.Classes[1].MinRung = 7 },
+		"MinRung 7":        func(c *Config) { c.Classes[1].MinRung = 7 },
 		"UplinkKB":         func(c *Config) { c.UplinkKB = -3 },
-		"Me is 5":          func(c *Config) { c.Self = 5 },
-		"Places[0]":        func(c *Config) { c.StreamsByKind[0] = -1 },
+		"Self is 5":        func(c *Config) { c.Self = 5 },
+		"StreamsByKind[0]": func(c *Config) { c.StreamsByKind[0] = -1 },
 		"MaxAttempts 0":    func(c *Config) { c.MaxAttempts = 0 },
 	} {
 		c := testConfig()
--- a/controller.go
+++ b/controller.go
@@ -1,12 +1,43 @@
 package headmill
 
-// Every decision of a front. The interface (types, events, actions) is in api.go.
+// This file holds every decision of a front; the types, events and actions are in api.go.
 //
-// Path of a request: Step hands EvRequest to arrive and on to place. place asks price for the rung that
-// the holders' links can pay for, tests the title's token holder (admits), passes the token to the
-// least-loaded holder that admits, makes room by lowering own sessions, or tries a lower rung; send is the
-// only place that emits a set-up, behind every rule guard (legal). If nothing fits, answer ends the request.
-// EvPlaying, EvNote and EvSettled feed the server view; tick lowers and raises rungs of playing sessions.
+// Path of a request:
+//
+//  1. Step passes EvRequest to handleRequest, which calls placeSession.
+//  2. eligibleHolders collects the nodes that hold the title and are neither excluded by a rule
+//     (setupAllowed) nor by the circuit breaker (selectable).
+//  3. shadowPrice and rungAtPrice choose the rung that the capacity of these nodes can pay for.
+//  4. pickNode applies the admission test (admits) to the holder of the title's placement token, and moves
+//     the token to the least-loaded holder that passes where that one does not.
+//  5. If no holder passes, freeCapacity lowers own sessions that earn less per kB than the new one; if that
+//     is not enough, steps 4 and 5 repeat with the next lower rung.
+//  6. sendSetup, the only place that emits a set-up, checks setupAllowed once more: drains, deadlines, the
+//     attempt limit, the per-title session cap, class semantics, the retry budget and slow start.
+//  7. If nothing fits, rejectRequest answers the viewer.
+//
+// EvAttemptPlaying, EvFeedback and EvAttemptEnded update the state of the nodes: load estimates, and the
+// circuit breaker that ejects failing nodes. tick runs every tickIntervalMs; it lowers the rungs of playing
+// sessions where a link or uplink is overloaded and raises them where capacity is free.
+//
+// A session is in one of these states:
+//
+//	state     fields               on an event
+//	attempt   node set, !playing   EvAttemptPlaying: playing; EvAttemptEnded: next attempt or final answer;
+//	                               EvViewerLeft: no attempt after this one
+//	playing   node set, playing    EvAttemptEnded: removed
+//
+// A node accepts set-ups according to these states:
+//
+//	state        fields                           set-ups
+//	closed       consecutiveFailures == 0         admitted by load
+//	open         now < ejectedUntil               none, until the back-off is over
+//	half-open    consecutiveFailures > 0          one at a time and none of an AtMostOnce class; playing
+//	                                              closes it, a failure opens it for twice as long, up to
+//	                                              maxEjectionMs
+//	full         now < fullUntil                  none: the admission test fails
+//	warming up   now < warmUpStartedAt+WarmUpMs   paced by hasWarmUpSlot
+//	unavailable  unavailable                      none: the node drains or is gone
 
 import (
 	"cmp"
@@ -18,997 +49,1195 @@
 )
 
 const (
-	mark         = MaxSetupLoad // share of a link or uplink that set-ups may fill: rates spread
-	reliefAt     = 1.0          // load above which own sessions are lowered: shares under 0.98 cost worth
-	worseAt      = 1.06         // load above which rungs earning most per kB go down too: viewers leave next
-	reliefTo     = 0.97         // load that a relief aims at: no more is lowered than what falls short
-	raiseTo      = MaxRaiseLoad // link load that raising may reach: a change costs, room is for set-ups
-	tickMs       = 250.0        // ms between looks at the fleet: under the 1 s after which viewers notice
-	payback      = 2.0          // a rung is raised only for this many times the price of the change
-	lifeGuessS   = 15.0         // s a session of unknown length is taken to go on
-	alikeMs      = 1500.0       // ms within which two servers short alike point to their uplink
-	alikeShare   = 0.04         // difference of shares of two servers short alike
-	hungAt       = 3.0          // load from a share above which a server stands still
-	uplinkBack   = 1.01         // growth a tick of a learned uplink back to the mean: 4% a second
-	wholeStep    = 0.9          // part of a further step that must fit; the first is taken by chance
-	settleMs     = 4000.0       // ms for which a changed rung is not raised again, against flapping
-	reportAgeMs  = 400.0        // ms that a load report is taken to be old
-	reportPart   = 0.5          // weight of a load report against the estimate: reports are noisy
-	firstTryPart = 0.45         // share of the aim that a repeatable attempt may take when another can follow
-	trialMs      = 1000.0       // ms a failed server rests at first; doubles with each failure in a row
-	trialMaxMs   = 8000.0       // ms it rests at most
-	fullMs       = 1000.0       // ms for which a server that answered full fails the test
-	staleTo      = 0.8          // load to which an old measurement above it fades: low rungs are tried again
-	staleFadeMs  = 3000.0       // ms in which it fades by two thirds
-	spareMs      = 1000.0       // ms past the told interval and lateness after which a measurement is old
-	streamFadeMs = 15000.0      // ms in which told streams of others fade by two thirds: sessions end unseen
-	farLoad      = 0.1          // load that a near holder may have over a far one: crossing zones has a price
-	guessLoad    = 0.5          // load of a fleet of which nothing has been heard
-	meanPart     = 0.1          // weight of a measurement in the mean: one full node must not shut a front
-	logEveryMs   = 2000.0       // ms between log lines about one server
-	forgetMs     = 60000.0      // ms after which a server that has gone is forgotten
-	tokensMost   = 1 << 16      // tokens kept; titles that nobody holds can be asked for without end
-	tickTimer    = 1
+	// setupLoadLimit is the load of a link or uplink up to which set-ups are admitted. The rest absorbs the
+	// spread of the sessions' actual rates.
+	setupLoadLimit = MaxSetupLoad
+	// reliefThreshold is the load above which own sessions are lowered: sessions that get less than 0.98 of
+	// their rate earn less.
+	reliefThreshold = 1.0
+	// deepReliefThreshold is the load above which sessions are lowered below their efficient rung too: at
+	// higher loads viewers leave.
+	deepReliefThreshold = 1.06
+	// reliefTargetLoad is the load that relief aims at, so that no more is lowered than is in excess.
+	reliefTargetLoad = 0.97
+	// raiseLoadLimit is the link load up to which rungs are raised. It is below setupLoadLimit because a
+	// rung change has a cost and free capacity is needed for set-ups.
+	raiseLoadLimit = MaxRaiseLoad
+	// tickIntervalMs is the time between two checks of all loads, well under the 1 s after which viewers
+	// notice a shortage.
+	tickIntervalMs = 250.0
+	// raisePaybackFactor is how many times its cost a rung change must earn.
+	raisePaybackFactor = 2.0
+	// defaultRemainingS is the time in seconds that a session of unknown duration is assumed to go on.
+	defaultRemainingS = 15.0
+	// shortfallWindowMs is the time within which shortfalls of two nodes of a rack count as simultaneous.
+	shortfallWindowMs = 1500.0
+	// shortfallTolerance is the difference of rate shares up to which two shortfalls count as equal. Equal
+	// and simultaneous shortfalls point to the uplink of the rack.
+	shortfallTolerance = 0.04
+	// hungNodeLoad is the load, inferred from a rate share, above which the node is taken to hang.
+	hungNodeLoad = 3.0
+	// uplinkRecoveryFactor is the growth per tick of an inferred uplink capacity back to the mean; 4% a
+	// second.
+	uplinkRecoveryFactor = 1.01
+	// furtherStepFit is the part of a further rung step that must fit into what is left to lower or raise.
+	// The first step that does not fit whole is taken at random, with the part that fits as probability.
+	furtherStepFit = 0.9
+	// rungHoldMs is the time for which a rung is not raised after a change, against flapping.
+	rungHoldMs = 4000.0
+	// loadReportAgeMs is the assumed age of a load report on arrival.
+	loadReportAgeMs = 400.0
+	// loadReportWeight is the weight of a load report against the current estimate: reports are noisy.
+	loadReportWeight = 0.5
+	// attemptTimeoutShare is the share of the class's TargetMs after which a repeatable attempt times out if
+	// another one can follow.
+	attemptTimeoutShare = 0.45
+	// minEjectionMs is the ejection time of a node after its first failure; it doubles with each
+	// consecutive failure.
+	minEjectionMs = 1000.0
+	// maxEjectionMs is the limit of the ejection time, before jitter.
+	maxEjectionMs = 8000.0
+	// fullHoldMs is the time for which a node that answered "full" fails the admission test.
+	fullHoldMs = 1000.0
+	// staleLoadTarget is the load to which a higher stale measurement decays, so that low rungs are tried
+	// there again.
+	staleLoadTarget = 0.8
+	// staleLoadDecayMs is the time in which a stale measurement decays by two thirds.
+	staleLoadDecayMs = 3000.0
+	// staleGraceMs is the time past the configured report interval and delay after which a measurement is
+	// stale.
+	staleGraceMs = 1000.0
+	// streamDecayMs is the time in which the reported streams of other fronts decay by two thirds: this
+	// front does not see those sessions end.
+	streamDecayMs = 15000.0
+	// remoteZonePenalty is added to the load of nodes outside the front's zone when holders are compared:
+	// traffic between zones has a price.
+	remoteZonePenalty = 0.1
+	// initialMeanLoad is the mean link load that is assumed before the first measurement.
+	initialMeanLoad = 0.5
+	// meanLoadWeight is the weight of one measurement in the mean link load: a single full node must not
+	// make a front refuse everything.
+	meanLoadWeight = 0.1
+	// nodeLogIntervalMs is the minimum time between two log lines about the same node.
+	nodeLogIntervalMs = 2000.0
+	// removedNodeRetentionMs is the time for which a removed node is remembered.
+	removedNodeRetentionMs = 60000.0
+	// maxPlacementTokens is the number of placement tokens kept: any number of titles that nobody holds can
+	// be asked for.
+	maxPlacementTokens = 1 << 16
+	// tickTimerID is the Event.Timer and Action.Timer of tick.
+	tickTimerID = 1
 )
 
-var troubles = map[Outcome]string{Failed: "answers set-ups with errors", TimedOut: "lets set-ups time out",
-	ConnectFailed: "takes no connections", Reset: "broke its sessions off"}
-
-// change is a change of the front's own rates on a gauge, kept until a measurement includes it.
-type change struct{ at, kb float64 }
+// failureTexts are the log texts of the outcomes that may be a node's fault.
+var failureTexts = map[Outcome]string{
+	Failed:        "answers set-ups with errors",
+	TimedOut:      "lets set-ups time out",
+	ConnectFailed: "takes no connections",
+	Reset:         "broke its sessions off",
+}
 
-// gauge is the load estimate of one link or uplink: what was told, and own changes since.
-type gauge struct {
-	cap, own float64 // kB/s: what it gives (believed), what own sessions ask
-	told, at float64 // asked over given, and when that was measured
-	known    bool
-	eased    float64 // time of the last relief; none follows before a later measurement
-	log      []change
+// rateChange is a change of the front's own rates on a link or uplink, in kB/s at a time in ms.
+type rateChange struct{ at, rateKB float64 }
+
+// loadEstimate estimates the load of one link or uplink from the last measurement and the front's own rate
+// changes since then.
+type loadEstimate struct {
+	capacityKB        float64      // assumed capacity in kB/s
+	ownRateKB         float64      // rate that the front's own sessions ask for, in kB/s
+	measuredLoad      float64      // last measured load: demand over capacity
+	measuredAt        float64      // when it was measured
+	measured          bool         // measuredLoad is set
+	lastReliefAt      float64      // time of the last relief; only a later measurement allows another one
+	unmeasuredChanges []rateChange // own changes that no measurement includes yet, by time
 }
 
-func (g *gauge) add(now, kb float64) {
-	g.own += kb
-	g.log = append(g.log, change{now, kb})
-	if len(g.log) > 64 && !g.known {
-		g.log = g.log[1:]
+// addOwnRate records a change of the front's own rates.
+func (e *loadEstimate) addOwnRate(now, kb float64) {
+	e.ownRateKB += kb
+	e.unmeasuredChanges = append(e.unmeasuredChanges, rateChange{now, kb})
+	if len(e.unmeasuredChanges) > 64 && !e.measured {
+		e.unmeasuredChanges = e.unmeasuredChanges[1:]
 	}
 }
 
-func (g *gauge) tell(at, load float64) {
-	if !(load >= 0) || math.IsInf(load, 0) || (g.known && at < g.at) {
+// recordMeasurement sets the load measured at a time and drops the own changes that it includes. It ignores
+// invalid loads and measurements older than the last one.
+func (e *loadEstimate) recordMeasurement(at, load float64) {
+	if !(load >= 0) || math.IsInf(load, 0) || (e.measured && at < e.measuredAt) {
 		return
 	}
-	g.told, g.at, g.known = load, at, true
-	k := 0
-	for k < len(g.log) && g.log[k].at <= at {
-		k++
+	e.measuredLoad, e.measuredAt, e.measured = load, at, true
+	included := 0
+	for included < len(e.unmeasuredChanges) && e.unmeasuredChanges[included].at <= at {
+		included++
 	}
-	g.log = g.log[:copy(g.log, g.log[k:])]
+	e.unmeasuredChanges = e.unmeasuredChanges[:copy(e.unmeasuredChanges, e.unmeasuredChanges[included:])]
 }
 
-func (g *gauge) load(now, stale, absent float64) float64 {
-	v := absent
-	if g.known {
-		v = g.told
-		for _, c := range g.log {
-			v += c.kb / g.cap
+// current returns the estimated load now. A measurement is stale after staleAfterMs; unmeasuredLoad stands in
+// where there has been no measurement. The result is never below the load of the front's own sessions.
+func (e *loadEstimate) current(now, staleAfterMs, unmeasuredLoad float64) float64 {
+	load := unmeasuredLoad
+	if e.measured {
+		load = e.measuredLoad
+		for _, change := range e.unmeasuredChanges {
+			load += change.rateKB / e.capacityKB
 		}
-		// An old high load is believed less and less: without set-ups nothing new would be told.
-		if age := now - g.at - stale; age > 0 && v > staleTo {
-			v = staleTo + (v-staleTo)*math.Exp(-age/staleFadeMs)
+		// A stale high load decays: it keeps set-ups away, and without set-ups there is no new measurement.
+		if age := now - e.measuredAt - staleAfterMs; age > 0 && load > staleLoadTarget {
+			load = staleLoadTarget + (load-staleLoadTarget)*math.Exp(-age/staleLoadDecayMs)
 		}
 	}
-	return math.Max(v, g.own/g.cap)
+	return math.Max(load, e.ownRateKB/e.capacityKB)
 }
 
-// server is the view of one media server.
-type server struct {
+// nodeState is what a front knows of one media node.
+type nodeState struct {
 	Node
-	rack             *rack
-	off              bool    // draining or gone, from the moment it was told
-	goneAt           float64 // when it was told gone; 0: it is there
-	link             gauge
-	others, counted  float64 // streams of others as last told, and when; -1 when never told
-	sessions         []*session
-	pending, fails   int     // set-ups out; set-ups failed in a row
-	until, full      float64 // no set-up before then: it failed; it answered full
-	lost             bool    // seen to fail as a whole: cold when it answers again
-	doubt            bool    // one set-up erred or broke off there; a second in a row is the server's fault
-	coldAt, lastCold float64 // start of its warm-up as far as known, 0 = warm; last set-up while cold
-	logged, raised   float64 // last line about it; last look for room to raise
-}
-
-type rack struct {
-	up             gauge
-	servers        []*server
-	shortBy        *server // the last of its servers to fall short, when, and to what share
-	shortAt, share float64
-}
-
-// session is one request from arrival to end.
-type session struct {
-	id                  SessionID
-	class               *Class
-	classNo, sort       int // sort: place in Controller.alike
-	title               uint64
-	home, n, top        int // first cell, cells, highest rung
-	deadline, endGuess  float64
-	server              *server // of the attempt that is out or plays
-	rung, plan          int     // in force; what lower or raise means to set
-	playing, mayHaveRun bool
-	erred               *server // where it erred, until its next attempt tells whose fault that was
-	errs                int     // attempts that erred
-	spare               float64 // share of a server's places that must stay free beside it
-	tries               int
-	tried               []NodeID
-	ranAt               float64 // of the first attempt that may have run
-	ranOn               *server
-	changed, playedAt   float64 // last change of rung, start of play
-}
-
-// alike counts the sessions on servers that are alike to price: of one class and one highest rung.
-type alike struct {
-	class *Class
-	top   int
-	n     float64
-}
-
-type seatKey struct {
+	rack                *rackState
+	unavailable         bool    // draining or gone, from the moment the node list says so
+	removedAt           float64 // when the node list said that the node is gone; 0 while it is there
+	link                loadEstimate
+	otherStreams        float64 // streams of other fronts as last reported; -1 before the first report
+	streamsReportedAt   float64 // time of that report
+	sessions            []*sessionState
+	pendingSetups       int     // own attempts that neither play nor have ended
+	consecutiveFailures int     // failures since a set-up last played
+	ejectedUntil        float64 // end of the ejection after a failure
+	fullUntil           float64 // end of the hold after a "full" answer
+	presumedDown        bool    // the whole node seems to have failed: it is cold when it plays again
+	suspectedFailure    bool    // one set-up failed or was reset; the next such one ejects the node
+	warmUpStartedAt     float64 // start of the warm-up as far as known; 0 = warm
+	lastColdSetupAt     float64 // last set-up sent during a warm-up
+	lastLoggedAt        float64 // last log line about the node
+	lastRaiseAt         float64 // last time that rungs were considered for raising
+}
+
+// rackState is a group of nodes behind one uplink, with the last node whose sessions got less than their
+// rates, the time of that shortfall and the share that they got.
+type rackState struct {
+	uplink         loadEstimate
+	nodes          []*nodeState
+	lastShortNode  *nodeState
+	lastShortAt    float64
+	lastShortShare float64
+}
+
+// sessionState is one request, from its arrival to the end of its session.
+type sessionState struct {
+	id                    SessionID
+	class                 *Class
+	classIndex            int // Event.Class as received
+	groupIndex            int // index in Controller.groups
+	title                 uint64
+	firstCell             int        // first cell that holds the title
+	copies                int        // number of cells that hold it
+	maxRung               int        // highest rung that both the viewer and the class allow
+	deadline              float64    // when the viewer gives up
+	expectedEndAt         float64    // expected end of the session; 0 = unknown
+	node                  *nodeState // of the attempt that is pending or plays
+	rung                  int        // the rung in force
+	plannedRung           int        // the rung that lowerRungs or raiseRungs is about to set
+	playing               bool
+	mayHaveRun            bool       // an earlier attempt may have taken effect
+	unattributedErrorNode *nodeState // where an attempt failed, until the next one shows whose fault it was
+	errorCount            int        // attempts that ended with Failed
+	headroom              float64    // share of a node's streams that must stay free beside this session
+	attempts              int
+	attemptedNodes        []NodeID
+	mayHaveRunAt          float64    // start of the first attempt that may have taken effect
+	mayHaveRunOn          *nodeState // its node
+	rungChangedAt         float64
+	playingSince          float64
+}
+
+// sessionGroup counts attached sessions that are equal to shadowPrice: of one class and one highest rung.
+type sessionGroup struct {
+	class   *Class
+	maxRung int
+	count   float64
+}
+
+// titleKey identifies the sessions that a per-title session cap counts together.
+type titleKey struct {
 	title uint64
 	class int
 }
 
-// Controller is one front's state.
+// Controller is the decision state of one front. It is not safe for concurrent use.
 type Controller struct {
-	cfg           Config
-	rng           *rand.Rand
-	began         float64 // time of the first Step
-	now, perPlace float64 // kB/s of link for each place, where weights tell nothing
-	out           []Action
-	servers       map[NodeID]*server
-	order         []*server   // by id: the order of every walk
-	cells         [][]*server // by cell, each in the same order
-	racks         []*rack
-	sessions      map[SessionID]*session
-	seats         map[seatKey]int
-	tokens        map[uint64]*server // by title
-	taken, extras []float64          // times of requests and of further attempts within the look-back
-	ticking       bool
-	stale         float64    // ms after which a measurement is old
-	mean          float64    // link load of the servers lately heard
-	highest       float64    // price of a kB/s above any worth
-	scratch       []*server  // of holders
-	pool          []*session // of lower
-	alike         []alike
-}
-
-// New makes the controller of one front. It owns all its state; seed is its only source of chance.
+	cfg                 Config
+	rng                 *rand.Rand
+	firstStepAt         float64  // time of the first Step
+	now                 float64  // time of the current Step
+	linkKBPerStream     float64  // link capacity per stream, used where weights are not known
+	actions             []Action // of the current Step
+	nodesByID           map[NodeID]*nodeState
+	nodes               []*nodeState   // sorted by ID, so that every iteration is deterministic
+	nodesByCell         [][]*nodeState // index: cell; each sorted by ID
+	racks               []*rackState
+	sessions            map[SessionID]*sessionState
+	sessionsPerTitle    map[titleKey]int
+	placementTokens     map[uint64]*nodeState // current token holder by title
+	requestTimes        []float64             // requests within the window of the retry budget
+	furtherAttemptTimes []float64             // attempts after the first, within the same window
+	tickScheduled       bool
+	staleAfterMs        float64         // age at which a measurement is stale
+	meanLinkLoad        float64         // running mean of measured link loads
+	maxPrice            float64         // a price per kB/s above the worth of any rung
+	holderBuffer        []*nodeState    // reused by eligibleHolders
+	lowerCandidates     []*sessionState // input of lowerRungs, reused
+	groups              []sessionGroup
+}
+
+// New returns the Controller of one front. It shares no state, and seed is its only source of randomness.
 func New(cfg Config, seed uint64) (*Controller, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	c := &Controller{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x6865616d)), servers: map[NodeID]*server{},
-		sessions: map[SessionID]*session{}, seats: map[seatKey]int{}, tokens: map[uint64]*server{},
-		mean: guessLoad, cells: make([][]*server, cfg.Cells),
-		stale: cfg.ReportIntervalMs + cfg.ReportDelayMs + spareMs}
-	for _, k := range cfg.Classes {
-		c.highest = math.Max(c.highest,
-			2*k.Value*cfg.RungWorth[len(cfg.RungWorth)-1]/(cfg.RateKB[0]*k.RateScale))
+	c := &Controller{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x6865616d)),
+		nodesByID: map[NodeID]*nodeState{}, sessions: map[SessionID]*sessionState{},
+		sessionsPerTitle: map[titleKey]int{}, placementTokens: map[uint64]*nodeState{},
+		meanLinkLoad: initialMeanLoad, nodesByCell: make([][]*nodeState, cfg.Cells),
+		staleAfterMs: cfg.ReportIntervalMs + cfg.ReportDelayMs + staleGraceMs}
+	for _, class := range cfg.Classes {
+		c.maxPrice = math.Max(c.maxPrice,
+			2*class.Value*cfg.RungWorth[len(cfg.RungWorth)-1]/(cfg.RateKB[0]*class.RateScale))
 	}
 	for i := range c.cfg.Classes {
-		for top := range cfg.RateKB {
-			c.alike = append(c.alike, alike{class: &c.cfg.Classes[i], top: top})
+		for maxRung := range cfg.RateKB {
+			c.groups = append(c.groups, sessionGroup{class: &c.cfg.Classes[i], maxRung: maxRung})
 		}
 	}
 	for range cfg.Racks {
-		c.racks = append(c.racks, &rack{up: gauge{cap: math.Max(cfg.UplinkKB, 1)}})
+		c.racks = append(c.racks, &rackState{uplink: loadEstimate{capacityKB: math.Max(cfg.UplinkKB, 1)}})
 	}
 	return c, nil
 }
 
-// Step takes the events of one moment in their order and appends the actions to out.
+// Step processes the events that happened at now, in their order, and appends the resulting actions to out.
 func (c *Controller) Step(now float64, events []Event, out []Action) []Action {
-	if c.began == 0 {
-		c.began = now
+	if c.firstStepAt == 0 {
+		c.firstStepAt = now
 	}
-	c.now, c.out = now, out
+	c.now, c.actions = now, out
 	for i := range events {
-		ev := &events[i]
-		switch ev.Kind {
+		event := &events[i]
+		switch event.Kind {
 		case EvNodes:
-			c.list(ev)
+			c.updateNodes(event)
 		case EvRequest:
-			c.arrive(ev)
+			c.handleRequest(event)
 		case EvExistingSession:
-			c.existing(ev)
+			c.handleExistingSession(event)
 		case EvAttemptPlaying:
-			c.playing(ev)
+			c.handlePlaying(event)
 		case EvFeedback:
-			c.note(ev)
+			c.handleFeedback(event)
 		case EvAttemptEnded:
-			c.settled(ev)
+			c.handleAttemptEnded(event)
 		case EvViewerLeft:
-			if s := c.sessions[ev.Session]; s != nil {
-				s.deadline = now // finished: no further attempt
+			if session := c.sessions[event.Session]; session != nil {
+				session.deadline = now // no further attempt
 			}
 		case EvTimer:
-			c.ticking = false
+			c.tickScheduled = false
 			c.tick()
 		}
 	}
-	if !c.ticking {
-		c.ticking = true
-		c.out = append(c.out, Action{Kind: ActTimer, AtMs: now + tickMs, Timer: tickTimer})
+	if !c.tickScheduled {
+		c.tickScheduled = true
+		c.actions = append(c.actions, Action{Kind: ActTimer, AtMs: now + tickIntervalMs, Timer: tickTimerID})
 	}
-	return c.out
+	return c.actions
 }
 
-// ---- server view ----
+// ---- state of the nodes ----
 
-func (c *Controller) list(ev *Event) {
-	if ev.ListUnavailable || c.cfg.SubscribeToNodes && len(c.order) == 0 {
-		c.out = append(c.out, Action{Kind: ActSubscribe})
+// updateNodes applies a full node list or a delta. Nodes that a full list lacks become unavailable at once
+// and are forgotten after removedNodeRetentionMs, once their sessions have ended.
+func (c *Controller) updateNodes(event *Event) {
+	if event.ListUnavailable || c.cfg.SubscribeToNodes && len(c.nodes) == 0 {
+		c.actions = append(c.actions, Action{Kind: ActSubscribe})
 	}
-	if ev.ListUnavailable {
+	if event.ListUnavailable {
 		return
 	}
-	seen := make(map[NodeID]bool, len(ev.Nodes))
-	for _, e := range ev.Nodes {
-		seen[e.ID] = true
-		s := c.servers[e.ID]
-		if s == nil {
-			s = &server{Node: e, others: -1, rack: c.racks[e.Cell%c.cfg.Racks], coldAt: e.StartedAtMs}
-			c.servers[e.ID] = s
-			c.order = append(c.order, s)
-		} else if e.StartedAtMs > s.StartedAtMs { // restarted: cold, and what it had is gone
-			s.coldAt, s.lost, s.fails, s.until, s.link.known = e.StartedAtMs, false, 0, 0, false
-		}
-		s.Node, s.off = e, e.Health != Ready
-	}
-	c.order = slices.DeleteFunc(c.order, func(s *server) bool {
-		s.off = s.off || !ev.Delta && !seen[s.ID]
-		if s.Health != Gone && (ev.Delta || seen[s.ID]) {
-			s.goneAt = 0
-		} else if s.goneAt == 0 {
-			s.Health, s.goneAt = Gone, c.now
-		} else if c.now-s.goneAt > forgetMs && len(s.sessions) == 0 {
-			delete(c.servers, s.ID)
-		}
-		return c.servers[s.ID] == nil
+	listed := make(map[NodeID]bool, len(event.Nodes))
+	for _, entry := range event.Nodes {
+		listed[entry.ID] = true
+		node := c.nodesByID[entry.ID]
+		if node == nil {
+			node = &nodeState{Node: entry, otherStreams: -1, rack: c.racks[entry.Cell%c.cfg.Racks],
+				warmUpStartedAt: entry.StartedAtMs}
+			c.nodesByID[entry.ID] = node
+			c.nodes = append(c.nodes, node)
+		} else if entry.StartedAtMs > node.StartedAtMs {
+			// A restart: the node warms up, and failures and load from before it no longer count.
+			node.warmUpStartedAt, node.presumedDown, node.consecutiveFailures,
+				node.ejectedUntil, node.link.measured = entry.StartedAtMs, false, 0, 0, false
+		}
+		node.Node, node.unavailable = entry, entry.Health != Ready
+	}
+	c.nodes = slices.DeleteFunc(c.nodes, func(node *nodeState) bool {
+		node.unavailable = node.unavailable || !event.Delta && !listed[node.ID]
+		if node.Health != Gone && (event.Delta || listed[node.ID]) {
+			node.removedAt = 0
+		} else if node.removedAt == 0 {
+			node.Health, node.removedAt = Gone, c.now
+		} else if c.now-node.removedAt > removedNodeRetentionMs && len(node.sessions) == 0 {
+			delete(c.nodesByID, node.ID)
+		}
+		return c.nodesByID[node.ID] == nil
 	})
-	sort.Slice(c.order, func(i, j int) bool { return c.order[i].ID < c.order[j].ID })
-	clear(c.cells)
-	for _, r := range c.racks {
-		r.servers = r.servers[:0]
+	sort.Slice(c.nodes, func(i, j int) bool { return c.nodes[i].ID < c.nodes[j].ID })
+	clear(c.nodesByCell)
+	for _, rack := range c.racks {
+		rack.nodes = rack.nodes[:0]
 	}
-	for _, s := range c.order {
-		s.rack.servers = append(s.rack.servers, s)
-		c.cells[s.Cell%len(c.cells)] = append(c.cells[s.Cell%len(c.cells)], s)
+	for _, node := range c.nodes {
+		node.rack.nodes = append(node.rack.nodes, node)
+		c.nodesByCell[node.Cell%len(c.nodesByCell)] =
+			append(c.nodesByCell[node.Cell%len(c.nodesByCell)], node)
 	}
-	c.sizes()
+	c.assignLinkCapacities()
 }
 
-// sizes shares out the told links by weight, or where weights tell nothing by the places of each kind.
-func (c *Controller) sizes() {
-	size := func(s *server) float64 { return min(c.places(s), 1e6) } // all alike where no places are told
-	if c.perPlace == 0 {
+// assignLinkCapacities sets each node's link capacity by its weight or, where weights are not known, by its
+// kind's share of all streams. The capacity per stream is fixed by the first node list that is not empty.
+func (c *Controller) assignLinkCapacities() {
+	// Without configured stream limits all links count as equal.
+	size := func(node *nodeState) float64 { return min(c.streamLimit(node), 1e6) }
+	if c.linkKBPerStream == 0 {
 		total := 0.0
-		for _, s := range c.order {
-			total += size(s)
+		for _, node := range c.nodes {
+			total += size(node)
 		}
-		c.perPlace = c.cfg.TotalLinkKB / max(total, 1)
+		c.linkKBPerStream = c.cfg.TotalLinkKB / max(total, 1)
 	}
-	for _, s := range c.order {
-		s.link.cap = size(s) * c.perPlace
-		if c.cfg.WeightsKnown && c.cfg.LinkKBPerWeight > 0 || s.link.cap == 0 {
-			s.link.cap = math.Max(math.Max(s.Weight, 0.01)*c.cfg.LinkKBPerWeight, c.cfg.RateKB[0])
+	for _, node := range c.nodes {
+		node.link.capacityKB = size(node) * c.linkKBPerStream
+		if c.cfg.WeightsKnown && c.cfg.LinkKBPerWeight > 0 || node.link.capacityKB == 0 {
+			node.link.capacityKB =
+				math.Max(math.Max(node.Weight, 0.01)*c.cfg.LinkKBPerWeight, c.cfg.RateKB[0])
 		}
 	}
 }
 
-func (c *Controller) places(s *server) float64 {
-	if s.Kind < len(c.cfg.StreamsByKind) {
-		return float64(c.cfg.StreamsByKind[s.Kind])
+// streamLimit is the number of streams that a node runs at most, or infinity where its kind states none.
+func (c *Controller) streamLimit(node *nodeState) float64 {
+	if node.Kind < len(c.cfg.StreamsByKind) {
+		return float64(c.cfg.StreamsByKind[node.Kind])
 	}
 	return math.Inf(1)
 }
 
-// tellLink books a measured link load; unheard servers count as the running mean of what was heard.
-func (c *Controller) tellLink(v *server, at, load float64) {
-	v.link.tell(at, load)
-	if v.link.known {
-		c.mean += (math.Min(load, 2) - c.mean) * meanPart
+// recordLinkLoad records a measured link load, also in the running mean that stands in for the load of nodes
+// without a measurement.
+func (c *Controller) recordLinkLoad(node *nodeState, at, load float64) {
+	node.link.recordMeasurement(at, load)
+	if node.link.measured {
+		c.meanLinkLoad += (math.Min(load, 2) - c.meanLinkLoad) * meanLoadWeight
 	}
 }
 
-// seen tells whether a server's load has been heard lately.
-func (c *Controller) seen(v *server) bool { return v.link.known && c.now-v.link.at <= c.stale }
+// hasFreshLoad reports whether the last measurement of a node's link is not stale.
+func (c *Controller) hasFreshLoad(node *nodeState) bool {
+	return node.link.measured && c.now-node.link.measuredAt <= c.staleAfterMs
+}
 
-// linkLoad and rackLoad are the one estimate of a link and of an uplink.
-func (c *Controller) linkLoad(s *server) float64 {
-	return s.link.load(c.now, c.stale, c.mean)
+// linkLoad is the load estimate of a node's link.
+func (c *Controller) linkLoad(node *nodeState) float64 {
+	return node.link.current(c.now, c.staleAfterMs, c.meanLinkLoad)
 }
 
-func (c *Controller) rackLoad(r *rack) float64 {
-	if r.up.known {
-		return r.up.load(c.now, c.stale, 0)
+// uplinkLoad is the load estimate of a rack's uplink. An uplink without a measurement is assumed to carry the
+// sum of its nodes' links.
+func (c *Controller) uplinkLoad(rack *rackState) float64 {
+	if rack.uplink.measured {
+		return rack.uplink.current(c.now, c.staleAfterMs, 0)
 	}
-	asked, most := 0.0, staleTo // old figures and guesses alone never shut a rack
-	for _, s := range r.servers {
-		if !s.off {
-			asked += c.linkLoad(s) * s.link.cap
+	demandKB, limit := 0.0, staleLoadTarget // stale loads and assumptions alone never exclude a rack
+	for _, node := range rack.nodes {
+		if !node.unavailable {
+			demandKB += c.linkLoad(node) * node.link.capacityKB
 		}
-		if c.seen(s) {
-			most = math.Inf(1)
+		if c.hasFreshLoad(node) {
+			limit = math.Inf(1)
 		}
 	}
-	return r.up.load(c.now, c.stale, math.Min(asked/r.up.cap, most))
+	return rack.uplink.current(c.now, c.staleAfterMs, math.Min(demandKB/rack.uplink.capacityKB, limit))
 }
 
-func (c *Controller) load(s *server) float64 { return math.Max(c.linkLoad(s), c.rackLoad(s.rack)) }
+// nodeLoad is the higher load of a node's link and its rack's uplink.
+func (c *Controller) nodeLoad(node *nodeState) float64 {
+	return math.Max(c.linkLoad(node), c.uplinkLoad(node.rack))
+}
 
-func (c *Controller) cold(s *server) bool {
-	return s.coldAt > 0 && c.now-s.coldAt < c.cfg.WarmUpMs
+// warmingUp reports whether a node started less than WarmUpMs ago.
+func (c *Controller) warmingUp(node *nodeState) bool {
+	return node.warmUpStartedAt > 0 && c.now-node.warmUpStartedAt < c.cfg.WarmUpMs
 }
 
-func (c *Controller) failed(s *server, why string) {
-	s.fails++
-	rest := math.Min(trialMs*math.Pow(2, float64(s.fails-1)), trialMaxMs)
-	s.until = c.now + rest*(0.75+0.5*c.rng.Float64())
-	if c.now-s.logged < logEveryMs && s.logged > 0 {
+// eject counts a failure and ejects the node for an exponential back-off with a jitter of 25%. It logs the
+// failure, rate-limited for each node.
+func (c *Controller) eject(node *nodeState, reason string) {
+	node.consecutiveFailures++
+	ejectionMs := math.Min(minEjectionMs*math.Pow(2, float64(node.consecutiveFailures-1)), maxEjectionMs)
+	node.ejectedUntil = c.now + ejectionMs*(0.75+0.5*c.rng.Float64())
+	if c.now-node.lastLoggedAt < nodeLogIntervalMs && node.lastLoggedAt > 0 {
 		return
 	}
-	s.logged = c.now
-	id := uint64(s.ID)
+	node.lastLoggedAt = c.now
+	id := uint64(node.ID)
 	text := fmt.Sprintf("server %d.%d.%d.%d:%d %s; link %.2f uplink %.2f", id&255, id>>8&255, id>>16&255,
-		id>>24&255, id>>32, why, c.linkLoad(s), c.rackLoad(s.rack))
-	c.out = append(c.out, Action{Kind: ActLog, Text: text})
+		id>>24&255, id>>32, reason, c.linkLoad(node), c.uplinkLoad(node.rack))
+	c.actions = append(c.actions, Action{Kind: ActLog, Text: text})
 }
 
-func (c *Controller) report(s *server, r *Report) {
-	if !r.Present {
+// applyLoadReport blends a node's load report into the estimates.
+func (c *Controller) applyLoadReport(node *nodeState, report *Report) {
+	if !report.Present {
 		return
 	}
-	at := c.now - reportAgeMs
-	if r.Link >= 0 {
-		c.tellLink(s, at, r.Link+(c.linkLoad(s)-r.Link)*guessPart(c.seen(s)))
+	at := c.now - loadReportAgeMs
+	if report.Link >= 0 {
+		c.recordLinkLoad(node, at,
+			report.Link+(c.linkLoad(node)-report.Link)*priorWeight(c.hasFreshLoad(node)))
 	}
-	if r.Uplink >= 0 {
-		s.rack.up.tell(at, r.Uplink+(c.rackLoad(s.rack)-r.Uplink)*guessPart(s.rack.up.known))
+	if report.Uplink >= 0 {
+		node.rack.uplink.recordMeasurement(at,
+			report.Uplink+(c.uplinkLoad(node.rack)-report.Uplink)*priorWeight(node.rack.uplink.measured))
 	}
-	if r.Streams >= 0 {
-		s.others, s.counted = math.Max(0, r.Streams-float64(len(s.sessions))), c.now
+	if report.Streams >= 0 {
+		node.otherStreams, node.streamsReportedAt =
+			math.Max(0, report.Streams-float64(len(node.sessions))), c.now
 	}
 }
 
-// guessPart is what an estimate keeps against a report: nothing where it rests on no measurement.
-func guessPart(measured bool) float64 {
+// priorWeight is the weight of an estimate against a load report; 0 if the estimate rests on no measurement.
+func priorWeight(measured bool) float64 {
 	if measured {
-		return 1 - reportPart
+		return 1 - loadReportWeight
 	}
 	return 0
 }
 
-// ---- sessions on servers ----
+// ---- sessions on nodes ----
 
-func (c *Controller) rate(class *Class, rung int) float64 {
+// rateKB is the rate of a class at a rung, in kB/s.
+func (c *Controller) rateKB(class *Class, rung int) float64 {
 	return c.cfg.RateKB[rung] * class.RateScale
 }
 
-func (c *Controller) attach(s *session, v *server, rung int) {
-	s.server, s.rung = v, rung
-	v.sessions = append(v.sessions, s)
-	kb := c.rate(s.class, rung)
-	v.link.add(c.now, kb)
-	v.rack.up.add(c.now, kb)
-	c.seats[seatKey{s.title, s.classNo}]++
-	c.alike[s.sort].n++
+// attach counts a session on a node: in the loads, the per-title session cap and the session groups.
+func (c *Controller) attach(session *sessionState, node *nodeState, rung int) {
+	session.node, session.rung = node, rung
+	node.sessions = append(node.sessions, session)
+	kb := c.rateKB(session.class, rung)
+	node.link.addOwnRate(c.now, kb)
+	node.rack.uplink.addOwnRate(c.now, kb)
+	c.sessionsPerTitle[titleKey{session.title, session.classIndex}]++
+	c.groups[session.groupIndex].count++
 }
 
-func (c *Controller) detach(s *session) {
-	v := s.server
-	if i := slices.Index(v.sessions, s); i >= 0 {
-		v.sessions = slices.Delete(v.sessions, i, i+1)
+// detach undoes attach at the end of an attempt or session.
+func (c *Controller) detach(session *sessionState) {
+	node := session.node
+	if i := slices.Index(node.sessions, session); i >= 0 {
+		node.sessions = slices.Delete(node.sessions, i, i+1)
 	}
-	c.alike[s.sort].n--
-	kb := c.rate(s.class, s.rung)
-	v.link.add(c.now, -kb)
-	v.rack.up.add(c.now, -kb)
-	if !s.playing {
-		v.pending--
+	c.groups[session.groupIndex].count--
+	kb := c.rateKB(session.class, session.rung)
+	node.link.addOwnRate(c.now, -kb)
+	node.rack.uplink.addOwnRate(c.now, -kb)
+	if !session.playing {
+		node.pendingSetups--
 	}
-	k := seatKey{s.title, s.classNo}
-	if c.seats[k]--; c.seats[k] <= 0 {
-		delete(c.seats, k)
+	key := titleKey{session.title, session.classIndex}
+	if c.sessionsPerTitle[key]--; c.sessionsPerTitle[key] <= 0 {
+		delete(c.sessionsPerTitle, key)
 	}
-	s.server, s.playing = nil, false
+	session.node, session.playing = nil, false
 }
 
-// setRung is the only place that emits a rung: never under the floor, over the class or over the viewer.
-func (c *Controller) setRung(s *session, rung int) {
-	rung = max(min(rung, s.top), s.class.MinRung)
-	kb := c.rate(s.class, rung) - c.rate(s.class, s.rung)
-	if s.server == nil || kb == 0 {
+// setRung changes the rung of an attached session, within the bounds of its class and viewer.
+func (c *Controller) setRung(session *sessionState, rung int) {
+	rung = max(min(rung, session.maxRung), session.class.MinRung)
+	kb := c.rateKB(session.class, rung) - c.rateKB(session.class, session.rung)
+	if session.node == nil || kb == 0 {
 		return
 	}
-	s.server.link.add(c.now, kb)
-	s.server.rack.up.add(c.now, kb)
-	s.rung, s.changed = rung, c.now
-	c.out = append(c.out, Action{Kind: ActSetRung, Session: s.id, Rung: rung})
+	session.node.link.addOwnRate(c.now, kb)
+	session.node.rack.uplink.addOwnRate(c.now, kb)
+	session.rung, session.rungChangedAt = rung, c.now
+	c.actions = append(c.actions, Action{Kind: ActSetRung, Session: session.id, Rung: rung})
 }
 
-func (c *Controller) newSession(ev *Event) *session {
-	k := &c.cfg.Classes[min(ev.Class, len(c.cfg.Classes)-1)]
-	s := &session{id: ev.Session, class: k, classNo: ev.Class, title: ev.Title,
-		home: ev.FirstCell, n: ev.Copies, deadline: c.now + ev.TimeLeftMs, spare: ev.Headroom,
-		top: min(ev.MaxRung, k.MaxRung, len(c.cfg.RateKB)-1)}
-	s.sort = min(ev.Class, len(c.cfg.Classes)-1)*len(c.cfg.RateKB) + max(s.top, 0)
-	if ev.DurationHintMs > 0 {
-		s.endGuess = c.now + ev.DurationHintMs
-	}
-	c.sessions[s.id] = s
-	return s
+// newSession registers the session that an event describes.
+func (c *Controller) newSession(event *Event) *sessionState {
+	class := &c.cfg.Classes[min(event.Class, len(c.cfg.Classes)-1)]
+	session := &sessionState{id: event.Session, class: class, classIndex: event.Class, title: event.Title,
+		firstCell: event.FirstCell, copies: event.Copies, deadline: c.now + event.TimeLeftMs,
+		headroom: event.Headroom, maxRung: min(event.MaxRung, class.MaxRung, len(c.cfg.RateKB)-1)}
+	session.groupIndex = min(event.Class, len(c.cfg.Classes)-1)*len(c.cfg.RateKB) + max(session.maxRung, 0)
+	if event.DurationHintMs > 0 {
+		session.expectedEndAt = c.now + event.DurationHintMs
+	}
+	c.sessions[session.id] = session
+	return session
 }
 
-func (c *Controller) existing(ev *Event) {
-	s, v := c.newSession(ev), c.servers[ev.Node]
-	if v == nil {
+// handleExistingSession attaches a session that was under way before the front started. Its rate is part of
+// the first measurement, so it is not kept as an unmeasured change.
+func (c *Controller) handleExistingSession(event *Event) {
+	session, node := c.newSession(event), c.nodesByID[event.Node]
+	if node == nil {
 		return
 	}
-	s.tries = 1
-	c.attach(s, v, s.class.MinRung)
-	s.playing = true
-	v.link.log, v.rack.up.log = v.link.log[:len(v.link.log)-1], v.rack.up.log[:len(v.rack.up.log)-1]
+	session.attempts = 1
+	c.attach(session, node, session.class.MinRung)
+	session.playing = true
+	node.link.unmeasuredChanges, node.rack.uplink.unmeasuredChanges =
+		node.link.unmeasuredChanges[:len(node.link.unmeasuredChanges)-1],
+		node.rack.uplink.unmeasuredChanges[:len(node.rack.uplink.unmeasuredChanges)-1]
 }
 
-// ---- the ordinary path ----
+// ---- placement ----
 
-func (c *Controller) arrive(ev *Event) {
-	s := c.newSession(ev)
+// handleRequest registers a new request and places it.
+func (c *Controller) handleRequest(event *Event) {
+	session := c.newSession(event)
 	if c.cfg.RetryBudget {
-		c.taken = append(c.taken, c.now)
+		c.requestTimes = append(c.requestTimes, c.now)
 	}
-	c.place(s)
+	c.placeSession(session)
 }
 
-// holders are the servers that hold the title and may be sent to by rule and by health.
-func (c *Controller) holders(s *session) []*server {
-	c.scratch = c.scratch[:0]
-	for j := 0; j < s.n && j < len(c.cells); j++ {
-		for _, v := range c.cells[(s.home+j)%len(c.cells)] {
-			if c.legal(s, v) && c.healthy(s, v) {
-				c.scratch = append(c.scratch, v)
+// eligibleHolders returns the nodes that hold the session's title and that both the rules and the circuit
+// breaker allow. The result is valid until the next call.
+func (c *Controller) eligibleHolders(session *sessionState) []*nodeState {
+	c.holderBuffer = c.holderBuffer[:0]
+	for i := 0; i < session.copies && i < len(c.nodesByCell); i++ {
+		for _, node := range c.nodesByCell[(session.firstCell+i)%len(c.nodesByCell)] {
+			if c.setupAllowed(session, node) && c.selectable(session, node) {
+				c.holderBuffer = append(c.holderBuffer, node)
 			}
 		}
 	}
-	return c.scratch
+	return c.holderBuffer
 }
 
-func (c *Controller) healthy(s *session, v *server) bool {
-	if c.now < v.until || (v.fails > 0 && (v.pending > 0 || s.class.Semantics == AtMostOnce)) {
+// selectable is the circuit breaker: it excludes ejected nodes, and lets a node that has failed prove itself
+// with one set-up at a time, none of them of an AtMostOnce class. It also excludes nodes that the session
+// has attempted before.
+func (c *Controller) selectable(session *sessionState, node *nodeState) bool {
+	if c.now < node.ejectedUntil ||
+		(node.consecutiveFailures > 0 && (node.pendingSetups > 0 || session.class.Semantics == AtMostOnce)) {
 		return false
 	}
-	return !slices.Contains(s.tried, v.ID)
+	return !slices.Contains(session.attemptedNodes, node.ID)
 }
 
-// admits is the link-and-stream test: the rung's rate must fit under the mark on the link and the uplink.
-func (c *Controller) admits(s *session, v *server, kb float64) bool {
-	return c.hasPlace(s, v) && c.linkLoad(v)+kb/v.link.cap <= mark &&
-		c.rackLoad(v.rack)+kb/v.rack.up.cap <= mark
+// admits is the admission test: the node needs a free stream, and the rate must fit under setupLoadLimit on
+// both its link and its uplink.
+func (c *Controller) admits(session *sessionState, node *nodeState, kb float64) bool {
+	return c.hasStreamCapacity(session, node) &&
+		c.linkLoad(node)+kb/node.link.capacityKB <= setupLoadLimit &&
+		c.uplinkLoad(node.rack)+kb/node.rack.uplink.capacityKB <= setupLoadLimit
 }
 
-// hasPlace keeps places free beside a request that must leave some. Rates are not kept so: rungs make room
-// for them, and a rate that stands empty earns nothing.
-func (c *Controller) hasPlace(s *session, v *server) bool {
-	return c.now >= v.full && c.streams(v) < c.places(v)*(1-s.spare)
+// hasStreamCapacity reports whether the node has a free stream beside the session's headroom. Headroom
+// applies to streams only, not to rates: lowering rungs frees rate when it is needed, and unused rate earns
+// nothing.
+func (c *Controller) hasStreamCapacity(session *sessionState, node *nodeState) bool {
+	return c.now >= node.fullUntil &&
+		c.streamEstimate(node) < c.streamLimit(node)*(1-session.headroom)
 }
 
-func (c *Controller) streams(v *server) float64 {
-	return math.Max(v.others, 0)*math.Exp((v.counted-c.now)/streamFadeMs) + float64(len(v.sessions))
+// streamEstimate is the number of a node's streams: own ones, and those of others as last reported, decayed.
+func (c *Controller) streamEstimate(node *nodeState) float64 {
+	return math.Max(node.otherStreams, 0)*math.Exp((node.streamsReportedAt-c.now)/streamDecayMs) +
+		float64(len(node.sessions))
 }
 
-func (c *Controller) place(s *session) {
-	holders := c.holders(s)
-	least := c.leastRung(s)
-	want := max(c.bestRung(s.class, s.top, c.price(holders, s)), least)
-	token := c.tokens[s.title]
-	if token == nil && len(holders) > 0 {
-		token = slices.MaxFunc(holders, func(a, b *server) int {
-			return cmp.Compare(c.turn(a, s.title), c.turn(b, s.title))
+// placeSession sends the next attempt of a request at the highest rung that fits, starting at the one that
+// the shadow price allows, and moves the title's placement token to the chosen node. It rejects the request
+// if no rung fits, and at once if the viewer's highest rung is below the efficient one.
+func (c *Controller) placeSession(session *sessionState) {
+	holders := c.eligibleHolders(session)
+	lowest := c.efficientRung(session)
+	wanted := max(c.rungAtPrice(session.class, session.maxRung, c.shadowPrice(holders, session)), lowest)
+	tokenHolder := c.placementTokens[session.title]
+	if tokenHolder == nil && len(holders) > 0 {
+		tokenHolder = slices.MaxFunc(holders, func(a, b *nodeState) int {
+			return cmp.Compare(c.rendezvousWeight(a, session.title), c.rendezvousWeight(b, session.title))
 		})
 	}
-	for rung := want; rung >= least && rung <= s.top; rung-- { // none for a viewer under the floor
-		kb := c.rate(s.class, rung)
-		v := c.pick(s, holders, token, kb)
-		if v == nil {
-			v = c.makeRoom(s, holders, rung, kb)
+	for rung := wanted; rung >= lowest && rung <= session.maxRung; rung-- {
+		kb := c.rateKB(session.class, rung)
+		node := c.pickNode(session, holders, tokenHolder, kb)
+		if node == nil {
+			node = c.freeCapacity(session, holders, rung, kb)
 		}
-		if v != nil {
-			if len(c.tokens) >= tokensMost {
-				clear(c.tokens)
+		if node != nil {
+			if len(c.placementTokens) >= maxPlacementTokens {
+				clear(c.placementTokens)
 			}
-			c.tokens[s.title] = v
-			c.send(s, v, rung)
+			c.placementTokens[session.title] = node
+			c.sendSetup(session, node, rung)
 			return
 		}
 	}
-	c.answer(s)
+	c.rejectRequest(session)
 }
 
-// pick keeps the token where it is while its holder admits, else finds the least-loaded holder that does.
-// Where loads are equal, as for all unheard servers, the title's order decides.
-func (c *Controller) pick(s *session, holders []*server, token *server, kb float64) *server {
-	heir, least, first := (*server)(nil), math.Inf(1), uint64(0)
-	for _, v := range holders {
-		l, o := c.load(v), c.turn(v, s.title)
-		if v.Zone != c.cfg.Zone {
-			l += farLoad
+// pickNode returns the token holder if it admits the session, or else the least-loaded holder that does.
+// The rendezvous weight breaks ties, as among nodes without a measurement.
+func (c *Controller) pickNode(session *sessionState, holders []*nodeState, tokenHolder *nodeState,
+	kb float64) *nodeState {
+	best, bestLoad, bestWeight := (*nodeState)(nil), math.Inf(1), uint64(0)
+	for _, node := range holders {
+		load, weight := c.nodeLoad(node), c.rendezvousWeight(node, session.title)
+		if node.Zone != c.cfg.Zone {
+			load += remoteZonePenalty
 		}
-		if (l < least || l == least && o > first || v == token) && c.admits(s, v, kb) {
-			if heir, least, first = v, l, o; v == token {
+		if (load < bestLoad || load == bestLoad && weight > bestWeight || node == tokenHolder) &&
+			c.admits(session, node, kb) {
+			if best, bestLoad, bestWeight = node, load, weight; node == tokenHolder {
 				break
 			}
 		}
 	}
-	return heir
+	return best
 }
 
-// turn orders the holders of a title by rendezvous hashing, alike at every front; those of its zone first.
-// Departure from one home for all: it spares crossings, and not all fronts fill one server.
-func (c *Controller) turn(v *server, title uint64) uint64 {
-	h := mix(mix(title)^uint64(v.ID)) >> 1
-	if v.Zone == c.cfg.Zone {
-		h |= 1 << 63
+// rendezvousWeight orders the holders of a title by rendezvous hashing, in the same way at every front, with
+// nodes in the front's own zone first. The DALA scheme has one starting node for all fronts; one for each
+// zone avoids traffic between zones, and keeps all fronts from filling the same node.
+func (c *Controller) rendezvousWeight(node *nodeState, title uint64) uint64 {
+	weight := mix64(mix64(title)^uint64(node.ID)) >> 1
+	if node.Zone == c.cfg.Zone {
+		weight |= 1 << 63
 	}
-	return h
+	return weight
 }
 
-func mix(x uint64) uint64 {
+// mix64 is the finalizer of the SplitMix64 generator.
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-func (c *Controller) worth(s *session, rung int) float64 {
-	return s.class.Value * c.cfg.RungWorth[rung]
+// rungWorth is what a session earns per second at a rung.
+func (c *Controller) rungWorth(session *sessionState, rung int) float64 {
+	return session.class.Value * c.cfg.RungWorth[rung]
 }
 
-// leastRung is the rung that earns the most for a kB. A session under it uses room with which another would
-// earn more, so none is set up there: those that play would go to the floor for it, and all earn less.
-func (c *Controller) leastRung(s *session) int {
-	best := s.class.MinRung
-	for r := best + 1; r <= s.top; r++ {
-		if c.worth(s, r)*c.cfg.RateKB[best] > c.worth(s, best)*c.cfg.RateKB[r] {
-			best = r
+// efficientRung is the rung that earns the most per kB. No session is set up below it: it would use capacity
+// that earns more in another session, and would force playing sessions down to their lowest rung, so that
+// all earn less.
+func (c *Controller) efficientRung(session *sessionState) int {
+	best := session.class.MinRung
+	for rung := best + 1; rung <= session.maxRung; rung++ {
+		if c.rungWorth(session, rung)*c.cfg.RateKB[best] > c.rungWorth(session, best)*c.cfg.RateKB[rung] {
+			best = rung
 		}
 	}
 	return best
 }
 
-// bestRung is the rung with the most worth left after its rate is paid for at the price.
-func (c *Controller) bestRung(k *Class, top int, price float64) int {
-	best, most := k.MinRung, math.Inf(-1)
-	for r := k.MinRung; r <= top; r++ {
-		if v := k.Value*c.cfg.RungWorth[r] - price*c.rate(k, r); v > most {
-			best, most = r, v
+// rungAtPrice is the rung with the highest worth less the price of its rate.
+func (c *Controller) rungAtPrice(class *Class, maxRung int, price float64) int {
+	best, bestSurplus := class.MinRung, math.Inf(-1)
+	for rung := class.MinRung; rung <= maxRung; rung++ {
+		if surplus := class.Value*c.cfg.RungWorth[rung] - price*c.rateKB(class, rung); surplus > bestSurplus {
+			best, bestSurplus = rung, surplus
 		}
 	}
 	return best
 }
 
-// effective is what a server can carry once the rack's uplink is shared out among its links.
-func (c *Controller) effective(v *server) float64 {
-	return v.link.cap * math.Min(1, v.rack.up.cap*float64(c.cfg.Racks)/math.Max(c.cfg.TotalLinkKB, 1))
+// effectiveCapacityKB is what a node can carry, in kB/s, when all links share the uplinks in proportion.
+func (c *Controller) effectiveCapacityKB(node *nodeState) float64 {
+	return node.link.capacityKB *
+		math.Min(1, node.rack.uplink.capacityKB*float64(c.cfg.Racks)/math.Max(c.cfg.TotalLinkKB, 1))
 }
 
-// price is the worth of a kB/s at which all sessions on the holders, the newcomer included, would just fill
-// what they carry. The front's own sessions stand for those of all fronts, so that the price does not
-// depend on how many fronts there are. Departure from "the viewer's highest rung first".
-func (c *Controller) price(holders []*server, s *session) float64 {
-	mid := c.cfg.RateKB[len(c.cfg.RateKB)/2] * s.class.RateScale
-	own, asked, room := mid, mid, 0.0
-	for _, v := range c.order {
-		own += v.link.own
-	}
-	for _, v := range holders {
-		asked += math.Max(c.linkLoad(v)*v.link.cap, v.link.own)
-		room += c.effective(v) * mark
-	}
-	budget := room * own / asked
-	low, high := 0.0, c.highest
+// shadowPrice finds, by bisection, the price per kB/s at which all sessions on the holders, the new one
+// included, would just fill the holders' capacity. The front's own sessions stand for those of all fronts, so
+// the price does not depend on the number of fronts. Unlike the DALA scheme, placement starts at the rung
+// that this price allows and not at the viewer's highest one.
+func (c *Controller) shadowPrice(holders []*nodeState, session *sessionState) float64 {
+	middleRateKB := c.cfg.RateKB[len(c.cfg.RateKB)/2] * session.class.RateScale
+	ownKB, demandKB, capacityKB := middleRateKB, middleRateKB, 0.0
+	for _, node := range c.nodes {
+		ownKB += node.link.ownRateKB
+	}
+	for _, node := range holders {
+		demandKB += math.Max(c.linkLoad(node)*node.link.capacityKB, node.link.ownRateKB)
+		capacityKB += c.effectiveCapacityKB(node) * setupLoadLimit
+	}
+	budgetKB := capacityKB * ownKB / demandKB
+	low, high := 0.0, c.maxPrice
 	for range 20 {
-		p := (low + high) / 2
-		sum := c.rate(s.class, c.bestRung(s.class, s.top, p))
-		for i := range c.alike {
-			if a := &c.alike[i]; a.n > 0 { // by sort: a front of ten thousand decides as fast as one of ten
-				sum += a.n * c.rate(a.class, c.bestRung(a.class, a.top, p))
+		price := (low + high) / 2
+		sumKB := c.rateKB(session.class, c.rungAtPrice(session.class, session.maxRung, price))
+		for i := range c.groups {
+			// Summing over groups makes the cost independent of the number of sessions.
+			if group := &c.groups[i]; group.count > 0 {
+				sumKB += group.count * c.rateKB(group.class, c.rungAtPrice(group.class, group.maxRung, price))
 			}
 		}
-		if sum > budget {
-			low = p
+		if sumKB > budgetKB {
+			low = price
 		} else {
-			high = p
+			high = price
 		}
 	}
 	return high
 }
 
-// gain is the worth of a second of a step up from a rung, step its rate.
-func (c *Controller) gain(s *session, rung int) float64 { return c.worth(s, rung+1) - c.worth(s, rung) }
+// stepWorth is the worth per second of the step from a rung to the next higher one.
+func (c *Controller) stepWorth(session *sessionState, rung int) float64 {
+	return c.rungWorth(session, rung+1) - c.rungWorth(session, rung)
+}
 
-func (c *Controller) step(s *session, rung int) float64 {
-	return c.rate(s.class, rung+1) - c.rate(s.class, rung)
+// stepRateKB is the rate of that step, in kB/s.
+func (c *Controller) stepRateKB(session *sessionState, rung int) float64 {
+	return c.rateKB(session.class, rung+1) - c.rateKB(session.class, rung)
 }
 
-// loss is the worth given up for each kB/s freed when a session goes down one rung.
-func (c *Controller) loss(s *session) float64 {
-	if s.plan <= s.class.MinRung {
+// lossPerKB is the worth lost per kB/s freed when a session goes down one rung from its planned one.
+func (c *Controller) lossPerKB(session *sessionState) float64 {
+	if session.plannedRung <= session.class.MinRung {
 		return math.Inf(1)
 	}
-	return c.gain(s, s.plan-1) / c.step(s, s.plan-1)
+	return c.stepWorth(session, session.plannedRung-1) / c.stepRateKB(session, session.plannedRung-1)
 }
 
-// makeRoom lowers own sessions that earn less for their last kB than the newcomer would, at the first
-// holder, by load, where that is enough. It acts only when no holder admits the newcomer at that rung.
-func (c *Controller) makeRoom(s *session, holders []*server, rung int, kb float64) *server {
-	sort.SliceStable(holders, func(i, j int) bool { return c.load(holders[i]) < c.load(holders[j]) })
-	for _, v := range holders {
-		if !c.hasPlace(s, v) {
+// freeCapacity is called when no holder admits a new session at a rung. It returns the least-loaded holder
+// where lowering own sessions is enough, and lowers them; only sessions whose last kB earns less than the new
+// session would earn per kB are lowered. It returns nil if there is no such holder.
+func (c *Controller) freeCapacity(session *sessionState, holders []*nodeState, rung int,
+	kb float64) *nodeState {
+	sort.SliceStable(holders, func(i, j int) bool { return c.nodeLoad(holders[i]) < c.nodeLoad(holders[j]) })
+	for _, node := range holders {
+		if !c.hasStreamCapacity(session, node) {
 			continue
 		}
-		link := kb - (mark-c.linkLoad(v))*v.link.cap
-		up := kb - (mark-c.rackLoad(v.rack))*v.rack.up.cap
-		c.pool = append(c.pool[:0], v.sessions...)
-		if up > link {
-			for _, o := range v.rack.servers {
-				if o != v {
-					c.pool = append(c.pool, o.sessions...)
+		linkKB := kb - (setupLoadLimit-c.linkLoad(node))*node.link.capacityKB
+		uplinkKB := kb - (setupLoadLimit-c.uplinkLoad(node.rack))*node.rack.uplink.capacityKB
+		c.lowerCandidates = append(c.lowerCandidates[:0], node.sessions...)
+		if uplinkKB > linkKB {
+			for _, other := range node.rack.nodes {
+				if other != node {
+					c.lowerCandidates = append(c.lowerCandidates, other.sessions...)
 				}
 			}
 		}
-		if c.lower(link, up, v, c.worth(s, rung)/kb, true) {
-			return v
+		if c.lowerRungs(linkKB, uplinkKB, node, c.rungWorth(session, rung)/kb, true) {
+			return node
 		}
 	}
 	return nil
 }
 
-// lower takes own sessions of the pool down, the least loss for a kB first, until link and up are freed, each
-// in one change. On server at only its own sessions free the link. Under all it is everything or nothing.
-func (c *Controller) lower(link, up float64, at *server, dearest float64, all bool) bool {
-	for _, o := range c.pool {
-		o.plan = o.rung
-	}
-	fit := c.rng.Float64()
-	for link > 0 || up > 0 {
-		best, least := (*session)(nil), dearest
-		for _, o := range c.pool {
-			if l := c.loss(o); l < least && (link <= 0 || at == nil || o.server == at) {
-				best, least = o, l
+// lowerRungs lowers sessions of lowerCandidates, each in one rung change and the one with the least loss per
+// kB first, until linkKB and uplinkKB are freed. Steps that lose maxLoss per kB or more are not taken. If at
+// is set, only sessions on that node free its link. With allOrNothing it changes no session and returns false
+// if it can't free enough.
+func (c *Controller) lowerRungs(linkKB, uplinkKB float64, at *nodeState, maxLoss float64,
+	allOrNothing bool) bool {
+	for _, candidate := range c.lowerCandidates {
+		candidate.plannedRung = candidate.rung
+	}
+	requiredFit := c.rng.Float64()
+	for linkKB > 0 || uplinkKB > 0 {
+		best, leastLoss := (*sessionState)(nil), maxLoss
+		for _, candidate := range c.lowerCandidates {
+			if loss := c.lossPerKB(candidate); loss < leastLoss &&
+				(linkKB <= 0 || at == nil || candidate.node == at) {
+				best, leastLoss = candidate, loss
 			}
 		}
-		if best == nil && all {
+		if best == nil && allOrNothing {
 			return false
 		}
-		if best == nil || !all && math.Max(link, up) < fit*c.step(best, best.plan-1) {
+		if best == nil ||
+			!allOrNothing && math.Max(linkKB, uplinkKB) < requiredFit*c.stepRateKB(best, best.plannedRung-1) {
 			break
 		}
-		kb := c.step(best, best.plan-1)
-		best.plan--
-		fit = wholeStep
-		up -= kb
-		if at == nil || best.server == at {
-			link -= kb
+		kb := c.stepRateKB(best, best.plannedRung-1)
+		best.plannedRung--
+		requiredFit = furtherStepFit
+		uplinkKB -= kb
+		if at == nil || best.node == at {
+			linkKB -= kb
 		}
 	}
-	for _, o := range c.pool {
-		c.setRung(o, o.plan)
+	for _, candidate := range c.lowerCandidates {
+		c.setRung(candidate, candidate.plannedRung)
 	}
 	return true
 }
 
 // ---- attempts and rule guards ----
 
-// legal holds the rules that forbid a set-up of s at v now; send asks it for every set-up.
-func (c *Controller) legal(s *session, v *server) bool {
-	if v.off || s.server != nil || c.now >= s.deadline || s.tries >= c.cfg.MaxAttempts {
-		return false // drains; one attempt at a time; deadline; attempts
+// setupAllowed holds the rules that forbid a set-up of a session on a node now. sendSetup checks it for every
+// set-up.
+func (c *Controller) setupAllowed(session *sessionState, node *nodeState) bool {
+	// Draining or removed node; one attempt at a time; the viewer's deadline; the attempt limit.
+	if node.unavailable || session.node != nil || c.now >= session.deadline ||
+		session.attempts >= c.cfg.MaxAttempts {
+		return false
 	}
-	if k := s.class; k.MaxPerTitle > 0 && c.seats[seatKey{s.title, s.classNo}] >= k.MaxPerTitle {
-		return false // terms
+	// Per-title session cap.
+	if class := session.class; class.MaxPerTitle > 0 &&
+		c.sessionsPerTitle[titleKey{session.title, session.classIndex}] >= class.MaxPerTitle {
+		return false
 	}
-	if s.mayHaveRun {
-		switch k := s.class; {
-		case k.Semantics == AtMostOnce, k.Semantics == IdempotentByKey && c.now-s.ranAt > k.KeyTTLMs,
-			k.Semantics == IdempotentByKey && k.KeyScope == ScopeZone && v.Zone != s.ranOn.Zone,
-			k.Semantics == IdempotentByKey && k.KeyScope == ScopeCell && v.Cell != s.ranOn.Cell:
-			return false // no effect twice
+	// A set-up must not take effect twice.
+	if session.mayHaveRun {
+		switch class := session.class; {
+		case class.Semantics == AtMostOnce,
+			class.Semantics == IdempotentByKey && c.now-session.mayHaveRunAt > class.KeyTTLMs,
+			class.Semantics == IdempotentByKey && class.KeyScope == ScopeZone &&
+				node.Zone != session.mayHaveRunOn.Zone,
+			class.Semantics == IdempotentByKey && class.KeyScope == ScopeCell &&
+				node.Cell != session.mayHaveRunOn.Cell:
+			return false
 		}
 	}
-	if s.tries > 0 && c.cfg.RetryBudget && !c.ration() {
-		return false // retry budget
+	// Retry budget, for attempts after the first.
+	if session.attempts > 0 && c.cfg.RetryBudget && !c.withinRetryBudget() {
+		return false
 	}
-	return !c.cold(v) || c.coldTurn(v)
+	// Slow start.
+	return !c.warmingUp(node) || c.hasWarmUpSlot(node)
 }
 
-// coldTurn paces set-ups to a cold server: one each slot at its slowest pace, and the slots go round the
-// fronts, so that all together stay under it without a word between them. Slots are counted on the clock
-// that all fronts have and not from the start, which those that saw the server fail date each by itself. A
-// turn stays open for what the server bears beyond its pace, n + 2 roots of n + 2 in TipMs, less what a
-// connection may come up late: a front of little traffic would miss a turn of one slot. One that was open
-// before this front's own start may be spent.
-func (c *Controller) coldTurn(v *server) bool {
-	slot := c.cfg.WarmUpMs / math.Max(c.places(v)*math.Max(c.cfg.ColdRateFraction, 0.05), 1)
-	if !(slot > 0) {
+// hasWarmUpSlot is the slow start of a node that warms up. It grants one set-up in each time slot, at the
+// node's slowest pace, and the slots rotate over the fronts, so that all fronts together keep to the pace
+// without any communication. Slots are counted on the clock that the fronts share and not from the node's
+// start, which fronts that saw the node fail date differently.
+//
+// A front's turn stays open for more than one slot, as a front with little traffic would miss it otherwise:
+// for as long as the 2*sqrt(n)+2 set-ups take that the node bears beyond its pace of n in ColdWindowMs, less
+// the time by which a connection may come up late. A turn that began before the front's first Step may have
+// been used before a restart, so it is not granted.
+func (c *Controller) hasWarmUpSlot(node *nodeState) bool {
+	slotMs := c.cfg.WarmUpMs / math.Max(c.streamLimit(node)*math.Max(c.cfg.ColdRateFraction, 0.05), 1)
+	if !(slotMs > 0) {
 		return false
 	}
-	open := 1.0
+	openSlots := 1.0
 	if c.cfg.ColdWindowMs > 0 {
-		open = math.Max(1, math.Floor(2*math.Sqrt(c.cfg.ColdWindowMs/slot)+2-c.cfg.ConnectTimeoutMs/slot))
-	}
-	fronts, i := float64(c.cfg.Fronts), math.Floor(c.now/slot)
-	first := math.Mod(float64(c.cfg.Self)+float64(mix(uint64(v.ID))%uint64(c.cfg.Fronts)), fronts)
-	age := math.Mod(math.Mod(i-first, fronts)+fronts, fronts)
-	turn := (i - age) * slot // its begin; one set-up each
-	return age < open && v.lastCold < turn && turn >= c.began
+		openSlots = math.Max(1,
+			math.Floor(2*math.Sqrt(c.cfg.ColdWindowMs/slotMs)+2-c.cfg.ConnectTimeoutMs/slotMs))
+	}
+	fronts, slot := float64(c.cfg.Fronts), math.Floor(c.now/slotMs)
+	firstSlot := math.Mod(float64(c.cfg.Self)+float64(mix64(uint64(node.ID))%uint64(c.cfg.Fronts)), fronts)
+	age := math.Mod(math.Mod(slot-firstSlot, fronts)+fronts, fronts)
+	turnStart := (slot - age) * slotMs // one set-up is granted for each turn
+	return age < openSlots && node.lastColdSetupAt < turnStart && turnStart >= c.firstStepAt
 }
 
-func (c *Controller) ration() bool {
-	from := c.now - c.cfg.RetryBudgetWindowMs
-	c.taken, c.extras = after(c.taken, from), after(c.extras, from)
-	return float64(len(c.extras)+1) <= c.cfg.RetryBudgetMin+c.cfg.RetryBudgetRatio*float64(len(c.taken))
+// withinRetryBudget reports whether the retry budget allows one more attempt after the first: a minimum, plus
+// a ratio of the requests within the window.
+func (c *Controller) withinRetryBudget() bool {
+	windowStart := c.now - c.cfg.RetryBudgetWindowMs
+	c.requestTimes, c.furtherAttemptTimes =
+		dropThrough(c.requestTimes, windowStart), dropThrough(c.furtherAttemptTimes, windowStart)
+	return float64(len(c.furtherAttemptTimes)+1) <=
+		c.cfg.RetryBudgetMin+c.cfg.RetryBudgetRatio*float64(len(c.requestTimes))
 }
 
-func after(l []float64, t float64) []float64 {
-	k := 0
-	for k < len(l) && l[k] <= t {
-		k++
+// dropThrough removes the leading times up to and including limit, in place.
+func dropThrough(times []float64, limit float64) []float64 {
+	first := 0
+	for first < len(times) && times[first] <= limit {
+		first++
 	}
-	return l[:copy(l, l[k:])]
+	return times[:copy(times, times[first:])]
 }
 
-// send is the only place that emits a set-up.
-func (c *Controller) send(s *session, v *server, rung int) {
-	if !c.legal(s, v) {
-		c.answer(s)
+// sendSetup starts an attempt, or rejects the request if a rule forbids it. It is the only place that emits a
+// set-up.
+func (c *Controller) sendSetup(session *sessionState, node *nodeState, rung int) {
+	if !c.setupAllowed(session, node) {
+		c.rejectRequest(session)
 		return
 	}
-	allow := 0.0 // until the viewer gives up
-	if s.class.Semantics == Repeatable && s.tries+1 < c.cfg.MaxAttempts {
-		allow = math.Min(s.deadline-c.now, math.Max(s.class.TargetMs, 100)) * firstTryPart
+	timeoutMs := 0.0 // until the viewer gives up
+	if session.class.Semantics == Repeatable && session.attempts+1 < c.cfg.MaxAttempts {
+		timeoutMs = math.Min(session.deadline-c.now, math.Max(session.class.TargetMs, 100)) *
+			attemptTimeoutShare
 	}
-	if s.tries > 0 && c.cfg.RetryBudget {
-		c.extras = append(c.extras, c.now)
+	if session.attempts > 0 && c.cfg.RetryBudget {
+		c.furtherAttemptTimes = append(c.furtherAttemptTimes, c.now)
 	}
-	if c.cold(v) {
-		v.lastCold = c.now
+	if c.warmingUp(node) {
+		node.lastColdSetupAt = c.now
 	}
-	s.tries++
-	s.tried = append(s.tried, v.ID)
-	v.pending++
-	c.attach(s, v, rung)
-	s.changed = c.now
-	c.out = append(c.out, Action{Kind: ActSetRung, Session: s.id, Rung: rung},
-		Action{Kind: ActSetup, Session: s.id, Node: v.ID, AtMs: allow})
+	session.attempts++
+	session.attemptedNodes = append(session.attemptedNodes, node.ID)
+	node.pendingSetups++
+	c.attach(session, node, rung)
+	session.rungChangedAt = c.now
+	c.actions = append(c.actions, Action{Kind: ActSetRung, Session: session.id, Rung: rung},
+		Action{Kind: ActSetup, Session: session.id, Node: node.ID, AtMs: timeoutMs})
 }
 
-// answer ends a request that nothing can be done for: refused where that is allowed, else failed.
-func (c *Controller) answer(s *session) {
-	delete(c.sessions, s.id)
-	if s.erred != nil { // nobody will tell
-		c.doubts(s.erred, troubles[Failed])
-	}
-	k := s.class
-	if s.mayHaveRun &&
-		(k.Semantics == AtMostOnce || k.Semantics == IdempotentByKey && k.KeyScope != ScopeAll) {
-		c.out = append(c.out, Action{Kind: ActFail, Session: s.id})
+// rejectRequest ends a request that can't be placed. It refuses the request where the viewer may safely
+// retry, and fails it where an earlier attempt may have taken effect and a retry may repeat that.
+func (c *Controller) rejectRequest(session *sessionState) {
+	delete(c.sessions, session.id)
+	if session.unattributedErrorNode != nil { // no further attempt will attribute the error
+		c.suspectFailure(session.unattributedErrorNode, failureTexts[Failed])
+	}
+	class := session.class
+	if session.mayHaveRun && (class.Semantics == AtMostOnce ||
+		class.Semantics == IdempotentByKey && class.KeyScope != ScopeAll) {
+		c.actions = append(c.actions, Action{Kind: ActFail, Session: session.id})
 		return
 	}
-	refusal := Action{Kind: ActRefuse, Session: s.id}
+	refusal := Action{Kind: ActRefuse, Session: session.id}
 	if c.cfg.RetryAfter {
 		refusal.RetryAfterMs = c.cfg.MaxRetryAfterMs
 	}
-	c.out = append(c.out, refusal)
+	c.actions = append(c.actions, refusal)
 }
 
-// ---- outcomes and notes ----
+// ---- outcomes and feedback ----
 
-func (c *Controller) playing(ev *Event) {
-	v := c.servers[ev.Node]
-	if v != nil {
-		if v.lost {
-			v.lost, v.coldAt = false, c.now
+// handlePlaying records that an attempt plays: it closes the node's circuit breaker, and starts the warm-up
+// of a node that was presumed down.
+func (c *Controller) handlePlaying(event *Event) {
+	node := c.nodesByID[event.Node]
+	if node != nil {
+		if node.presumedDown {
+			node.presumedDown, node.warmUpStartedAt = false, c.now
 		}
-		v.fails, v.until, v.doubt = 0, 0, false
+		node.consecutiveFailures, node.ejectedUntil, node.suspectedFailure = 0, 0, false
 	}
-	if s := c.sessions[ev.Session]; s != nil && s.server != nil && !s.playing {
-		if s.erred != nil { // it plays here, so there it was not the request
-			c.doubts(s.erred, troubles[Failed])
+	if session := c.sessions[event.Session]; session != nil && session.node != nil && !session.playing {
+		// The request plays here, so the earlier error was not its own fault.
+		if session.unattributedErrorNode != nil {
+			c.suspectFailure(session.unattributedErrorNode, failureTexts[Failed])
 		}
-		s.playing, s.playedAt = true, c.now
-		s.server.pending--
-		if s.endGuess > 0 {
-			s.endGuess += ev.LatencyMs
+		session.playing, session.playingSince = true, c.now
+		session.node.pendingSetups--
+		if session.expectedEndAt > 0 {
+			session.expectedEndAt += event.LatencyMs
 		}
 	}
 }
 
-func (c *Controller) note(ev *Event) {
-	v, s := c.servers[ev.Node], c.sessions[ev.Session]
-	if v == nil {
+// handleFeedback records one measurement, or the rung in force, that a node reported on a session.
+func (c *Controller) handleFeedback(event *Event) {
+	node, session := c.nodesByID[event.Node], c.sessions[event.Session]
+	if node == nil {
 		return
 	}
 	at := c.now - c.cfg.ReportDelayMs
-	if s != nil && (!s.playing || s.playedAt == c.now) {
-		at = c.now // told at set-up, in the batch of EvPlaying: it is of now and includes the session
+	if session != nil && (!session.playing || session.playingSince == c.now) {
+		// Sent at set-up, in the same batch as EvAttemptPlaying: it is current and includes the session.
+		at = c.now
 	}
-	switch ev.Feedback {
+	switch event.Feedback {
 	case FeedbackRung:
-		if s != nil && s.server != nil {
-			rung := max(min(int(ev.Value), len(c.cfg.RateKB)-1), 0)
-			kb := c.rate(s.class, rung) - c.rate(s.class, s.rung)
-			s.rung = rung
-			s.server.link.own += kb // asked before now: no change since the last measurement
-			s.server.rack.up.own += kb
+		if session != nil && session.node != nil {
+			rung := max(min(int(event.Value), len(c.cfg.RateKB)-1), 0)
+			kb := c.rateKB(session.class, rung) - c.rateKB(session.class, session.rung)
+			session.rung = rung
+			// The rung was set earlier: the last measurement includes it, so it is no unmeasured change.
+			session.node.link.ownRateKB += kb
+			session.node.rack.uplink.ownRateKB += kb
 		}
 	case FeedbackLinkLoad:
-		c.tellLink(v, at, ev.Value)
+		c.recordLinkLoad(node, at, event.Value)
 	case FeedbackUplinkLoad:
-		v.rack.up.tell(at, ev.Value)
+		node.rack.uplink.recordMeasurement(at, event.Value)
 	case FeedbackRateShare:
-		c.short(v, ev.Value)
+		c.applyRateShare(node, event.Value)
 	}
 }
 
-// short takes a share delivered as a measurement of the link, or of an uplink that is never told where two
-// of its servers fall short alike, more than their links explain: it then learns what the uplink carries.
-func (c *Controller) short(v *server, share float64) {
+// applyRateShare takes the share of their rates that a node's sessions got, if it is below 0.98, as a
+// measurement of a load of 1/share. It counts for the link, or for an uplink without measurements if two of
+// its nodes fall equally short within a short time and by more than their links explain; the uplink's
+// capacity is then inferred from the demand.
+func (c *Controller) applyRateShare(node *nodeState, share float64) {
 	if share >= 0.98 || share <= 0 {
 		return
 	}
-	x, at, r := 1/share, c.now-c.cfg.ReportDelayMs, v.rack
-	alike := r.shortBy != v && c.now-r.shortAt < alikeMs && math.Abs(r.share-share) < alikeShare
-	r.shortBy, r.shortAt, r.share = v, c.now, share
-	if alike && !r.up.known && x < hungAt && c.linkLoad(v) < x-0.03 {
-		asked := c.rackLoad(r) * r.up.cap
-		r.up.cap, r.up.at = math.Min(r.up.cap, math.Max(asked/x, c.cfg.UplinkKB/hungAt)), at
-	} else if c.load(v) < x-0.03 {
-		c.tellLink(v, at, x)
+	load, at, rack := 1/share, c.now-c.cfg.ReportDelayMs, node.rack
+	equalShortfall := rack.lastShortNode != node && c.now-rack.lastShortAt < shortfallWindowMs &&
+		math.Abs(rack.lastShortShare-share) < shortfallTolerance
+	rack.lastShortNode, rack.lastShortAt, rack.lastShortShare = node, c.now, share
+	if equalShortfall && !rack.uplink.measured && load < hungNodeLoad && c.linkLoad(node) < load-0.03 {
+		demandKB := c.uplinkLoad(rack) * rack.uplink.capacityKB
+		rack.uplink.capacityKB, rack.uplink.measuredAt = math.Min(rack.uplink.capacityKB,
+			math.Max(demandKB/load, c.cfg.UplinkKB/hungNodeLoad)), at
+	} else if c.nodeLoad(node) < load-0.03 {
+		c.recordLinkLoad(node, at, load)
 	}
 }
 
-func (c *Controller) settled(ev *Event) {
-	v, s := c.servers[ev.Node], c.sessions[ev.Session]
-	was := s != nil && s.playing
-	if s != nil && s.server != nil {
-		c.detach(s)
-	}
-	if v != nil {
-		if why := troubles[ev.Outcome]; why != "" {
-			v.lost = v.lost || ev.Outcome == Reset && was || ev.Outcome == ConnectFailed && v.fails > 0
-			c.blame(s, v, ev.Outcome, why, was)
+// handleAttemptEnded detaches the session, attributes a failure, and places the request again unless it is
+// over.
+func (c *Controller) handleAttemptEnded(event *Event) {
+	node, session := c.nodesByID[event.Node], c.sessions[event.Session]
+	wasPlaying := session != nil && session.playing
+	if session != nil && session.node != nil {
+		c.detach(session)
+	}
+	if node != nil {
+		if reason := failureTexts[event.Outcome]; reason != "" {
+			node.presumedDown = node.presumedDown || event.Outcome == Reset && wasPlaying ||
+				event.Outcome == ConnectFailed && node.consecutiveFailures > 0
+			c.attributeFailure(session, node, event.Outcome, reason, wasPlaying)
 		}
-		c.report(v, &ev.Report)
-		if ev.Outcome == Full { // of rate, of streams or of set-ups waiting: it does not say which
-			v.full = c.now + fullMs
+		c.applyLoadReport(node, &event.Report)
+		// Full may refer to rate, streams or queued set-ups; the answer does not say which.
+		if event.Outcome == Full {
+			node.fullUntil = c.now + fullHoldMs
 		}
 	}
-	if s == nil || ev.SessionOver || was {
-		delete(c.sessions, ev.Session)
+	if session == nil || event.SessionOver || wasPlaying {
+		delete(c.sessions, event.Session)
 		return
 	}
-	if o := ev.Outcome; !s.mayHaveRun && o != Full && o != ConnectFailed && o != NeverSent {
-		s.mayHaveRun, s.ranAt, s.ranOn = true, c.now-ev.LatencyMs, v
+	if outcome := event.Outcome; !session.mayHaveRun &&
+		outcome != Full && outcome != ConnectFailed && outcome != NeverSent {
+		session.mayHaveRun, session.mayHaveRunAt, session.mayHaveRunOn = true, c.now-event.LatencyMs, node
 	}
-	c.place(s)
+	c.placeSession(session)
 }
 
-// blame books a failure on a server, unless it may be another's: a request that no server can use errs at
-// each, and connections break for reasons of their own. Servers were shut for both, and taken as cold. An
-// error of a request that may be tried elsewhere is judged by how that ends.
-func (c *Controller) blame(s *session, v *server, o Outcome, why string, played bool) {
+// attributeFailure decides whether a failure counts against the node. A malformed request fails on every
+// node, and single connections break for reasons of their own; counting these at once ejected healthy nodes
+// and made them warm up again. So a first Failed of a repeatable request is attributed by the outcome of its
+// next attempt, and other first errors and resets only make the node suspect.
+func (c *Controller) attributeFailure(session *sessionState, node *nodeState, outcome Outcome, reason string,
+	wasPlaying bool) {
 	switch {
-	case s == nil || played || o != Failed && o != Reset:
-		c.failed(v, why)
-	case o == Failed && s.errs > 0:
-		s.erred = nil // at another server too: the request's own
-	case o == Failed && s.class.Semantics == Repeatable:
-		s.erred = v
+	case session == nil || wasPlaying || outcome != Failed && outcome != Reset:
+		c.eject(node, reason)
+	case outcome == Failed && session.errorCount > 0:
+		session.unattributedErrorNode = nil // a second node failed it too: the request is at fault
+	case outcome == Failed && session.class.Semantics == Repeatable:
+		session.unattributedErrorNode = node
 	default:
-		c.doubts(v, why)
+		c.suspectFailure(node, reason)
 	}
-	if s != nil && o == Failed {
-		s.errs++
+	if session != nil && outcome == Failed {
+		session.errorCount++
 	}
 }
 
-// doubts books what is likely a server's fault; the second in a row shuts it.
-func (c *Controller) doubts(v *server, why string) {
-	if v.doubt {
-		c.failed(v, why)
+// suspectFailure records a failure that is probably the node's; the second in a row ejects it.
+func (c *Controller) suspectFailure(node *nodeState, reason string) {
+	if node.suspectedFailure {
+		c.eject(node, reason)
 	}
-	v.doubt = true
+	node.suspectedFailure = true
 }
 
-// ---- while sessions play ----
+// ---- rung changes of playing sessions ----
 
+// tick lets inferred uplink capacities recover, relieves overloaded links and uplinks, and raises rungs.
 func (c *Controller) tick() {
-	for _, r := range c.racks {
-		r.up.cap = math.Max(r.up.cap, math.Min(r.up.cap*uplinkBack, c.cfg.UplinkKB))
-		c.relieve(&r.up, c.rackLoad(r), r.servers)
-		for i, v := range r.servers {
-			c.relieve(&v.link, c.linkLoad(v), r.servers[i:i+1])
+	for _, rack := range c.racks {
+		rack.uplink.capacityKB = math.Max(rack.uplink.capacityKB,
+			math.Min(rack.uplink.capacityKB*uplinkRecoveryFactor, c.cfg.UplinkKB))
+		c.relieveOverload(&rack.uplink, c.uplinkLoad(rack), rack.nodes)
+		for i, node := range rack.nodes {
+			c.relieveOverload(&node.link, c.linkLoad(node), rack.nodes[i:i+1])
 		}
 	}
-	c.raise()
+	c.raiseRungs()
 }
 
-// relieve lowers own sessions on a link or uplink that is asked for too much, by this front's part of it.
-func (c *Controller) relieve(g *gauge, load float64, on []*server) {
-	if load <= reliefAt || g.at == 0 || g.eased > g.at {
+// relieveOverload lowers own sessions on an overloaded link or uplink by this front's share of the excess,
+// once for each measurement.
+func (c *Controller) relieveOverload(estimate *loadEstimate, load float64, nodes []*nodeState) {
+	if load <= reliefThreshold || estimate.measuredAt == 0 || estimate.lastReliefAt > estimate.measuredAt {
 		return
 	}
-	part := g.own * (load - reliefTo) / load
-	c.pool = c.pool[:0]
-	for _, v := range on {
-		c.pool = append(c.pool, v.sessions...)
+	excessKB := estimate.ownRateKB * (load - reliefTargetLoad) / load
+	c.lowerCandidates = c.lowerCandidates[:0]
+	for _, node := range nodes {
+		c.lowerCandidates = append(c.lowerCandidates, node.sessions...)
 	}
-	if load < worseAt {
-		c.pool = slices.DeleteFunc(c.pool, func(s *session) bool { return s.rung <= c.leastRung(s) })
+	if load < deepReliefThreshold {
+		c.lowerCandidates = slices.DeleteFunc(c.lowerCandidates,
+			func(session *sessionState) bool { return session.rung <= c.efficientRung(session) })
 	}
-	c.lower(part, 0, nil, math.Inf(1), false)
-	g.eased = c.now
+	c.lowerRungs(excessKB, 0, nil, math.Inf(1), false)
+	estimate.lastReliefAt = c.now
 }
 
-// raise lifts playing sessions where room lasts, the most worth for a kB first, in one change each. On each
-// new measurement a front takes the part of the room that its sessions have of what is asked; a first step
-// that does not fit whole is taken by chance, so that many fronts of few sessions together fill the room.
-func (c *Controller) raise() {
-	for _, v := range c.order {
-		if len(v.sessions) == 0 || v.off || c.now < v.until || !c.seen(v) || v.raised >= v.link.at {
+// raiseRungs raises playing sessions where capacity is free, the step that earns most per kB first and each
+// session in one change. On each new measurement of a link, a front uses the part of the free capacity that
+// its sessions have in the demand. A first step that does not fit whole is taken at random, so that many
+// fronts with few sessions each fill the capacity together.
+func (c *Controller) raiseRungs() {
+	for _, node := range c.nodes {
+		if len(node.sessions) == 0 || node.unavailable || c.now < node.ejectedUntil ||
+			!c.hasFreshLoad(node) || node.lastRaiseAt >= node.link.measuredAt {
 			continue
 		}
-		v.raised = c.now
-		load, kept := math.Max(c.load(v), 0.01), mark-raiseTo
-		if !v.rack.up.known { // an uplink that is only inferred may be short already
-			load, kept = load+kept, 0
-		}
-		room := v.link.own * (mark/load - 1)
-		for _, s := range v.sessions {
-			s.plan = s.rung
-		}
-		fit := c.rng.Float64()
-		for room > 0 {
-			best, most := (*session)(nil), 0.0
-			for _, s := range v.sessions {
-				if !s.playing || s.plan >= s.top || c.now-s.changed < settleMs ||
-					room <= v.link.own*kept/load && s.plan >= c.leastRung(s) {
-					continue // room is kept for newcomers, but for what earns most for a kB
+		node.lastRaiseAt = c.now
+		load, reserved := math.Max(c.nodeLoad(node), 0.01), setupLoadLimit-raiseLoadLimit
+		if !node.rack.uplink.measured { // an uplink that is only inferred may be overloaded already
+			load, reserved = load+reserved, 0
+		}
+		freeKB := node.link.ownRateKB * (setupLoadLimit/load - 1)
+		for _, session := range node.sessions {
+			session.plannedRung = session.rung
+		}
+		requiredFit := c.rng.Float64()
+		for freeKB > 0 {
+			best, mostWorth := (*sessionState)(nil), 0.0
+			for _, session := range node.sessions {
+				// Capacity reserved for new sessions is used only up to the efficient rung.
+				if !session.playing || session.plannedRung >= session.maxRung ||
+					c.now-session.rungChangedAt < rungHoldMs ||
+					freeKB <= node.link.ownRateKB*reserved/load &&
+						session.plannedRung >= c.efficientRung(session) {
+					continue
 				}
-				if w := c.gain(s, s.plan) / c.step(s, s.plan); w > most {
-					best, most = s, w
+				if worth := c.stepWorth(session, session.plannedRung) /
+					c.stepRateKB(session, session.plannedRung); worth > mostWorth {
+					best, mostWorth = session, worth
 				}
 			}
-			if best == nil || room < fit*c.step(best, best.plan) {
+			if best == nil || freeKB < requiredFit*c.stepRateKB(best, best.plannedRung) {
 				break
 			}
-			room -= c.step(best, best.plan)
-			best.plan++
-			fit = wholeStep
+			freeKB -= c.stepRateKB(best, best.plannedRung)
+			best.plannedRung++
+			requiredFit = furtherStepFit
 		}
-		for _, s := range v.sessions {
-			if c.pays(s, s.plan) {
-				c.setRung(s, s.plan)
+		for _, session := range node.sessions {
+			if c.raisePaysOff(session, session.plannedRung) {
+				c.setRung(session, session.plannedRung)
 			}
 		}
 	}
 }
 
-// pays tells whether a lift of s to rung r earns its price back by the session's end.
-func (c *Controller) pays(s *session, r int) bool {
-	left := lifeGuessS
-	if s.endGuess > 0 {
-		left = (s.endGuess - c.now) / 1000
+// raisePaysOff reports whether a raise to a rung earns raisePaybackFactor times its cost before the
+// session's expected end.
+func (c *Controller) raisePaysOff(session *sessionState, rung int) bool {
+	remainingS := defaultRemainingS
+	if session.expectedEndAt > 0 {
+		remainingS = (session.expectedEndAt - c.now) / 1000
 	}
-	return (c.worth(s, r)-c.worth(s, s.rung))*left >= payback*c.cfg.RungChangeCostS*s.class.Value
+	return (c.rungWorth(session, rung)-c.rungWorth(session, session.rung))*remainingS >=
+		raisePaybackFactor*c.cfg.RungChangeCostS*session.class.Value
 }
--- a/controller_test.go
+++ b/controller_test.go
@@ -19,7 +19,7 @@
 		WarmUpMs: 10000, ColdRateFraction: 0.5}
 }
 
-func fleet(n int) []Node {
+func testNodes(n int) []Node {
 	var l []Node
 	for i := range n {
 		l = append(l, Node{ID: NodeID(101 + 7*i), Cell: i % 6, Weight: 1, Zone: i % 2})
@@ -28,35 +28,35 @@
 }
 
 // bench drives one controller and keeps its clock.
-type bench struct {
-	t    *testing.T
-	c    *Controller
-	now  float64
-	next SessionID
+type testFront struct {
+	t           *testing.T
+	controller  *Controller
+	now         float64
+	nextSession SessionID
 }
 
-func start(t *testing.T, cfg Config) *bench {
+func startFront(t *testing.T, cfg Config) *testFront {
 	t.Helper()
 	c, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, c: c, now: 1e6, next: 1}
-	b.step(Event{Kind: EvNodes, Nodes: fleet(6)})
+	b := &testFront{t: t, controller: c, now: 1e6, nextSession: 1}
+	b.step(Event{Kind: EvNodes, Nodes: testNodes(6)})
 	return b
 }
 
-func (b *bench) step(ev ...Event) []Action { return b.c.Step(b.now, ev, nil) }
+func (b *testFront) step(ev ...Event) []Action { return b.controller.Step(b.now, ev, nil) }
 
-func (b *bench) ask(class int, title uint64) (SessionID, []Action) {
-	id := b.next
-	b.next++
+func (b *testFront) request(class int, title uint64) (SessionID, []Action) {
+	id := b.nextSession
+	b.nextSession++
 	return id, b.step(Event{Kind: EvRequest, Session: id, Class: class, Title: title, TimeLeftMs: 3000,
 		Copies: 3, MaxRung: 2})
 }
 
 // sent finds the set-up among actions, with the rung set just before it.
-func sent(acts []Action) (to NodeID, rung int, ok bool) {
+func findSetup(acts []Action) (to NodeID, rung int, ok bool) {
 	for _, a := range acts {
 		switch a.Kind {
 		case ActSetRung:
@@ -68,7 +68,7 @@
 	return 0, 0, false
 }
 
-func has(acts []Action, k ActionKind) bool {
+func hasAction(acts []Action, k ActionKind) bool {
 	for _, a := range acts {
 		if a.Kind == k {
 			return true
@@ -77,80 +77,80 @@
 	return false
 }
 
-func (b *bench) tell(load float64) {
-	for _, s := range fleet(6) {
+func (b *testFront) reportLinkLoads(load float64) {
+	for _, s := range testNodes(6) {
 		b.step(Event{Kind: EvFeedback, Node: s.ID, Feedback: FeedbackLinkLoad, Value: load})
 	}
 }
 
-func (b *bench) settle(id SessionID, to NodeID, o Outcome) []Action {
+func (b *testFront) endAttempt(id SessionID, to NodeID, o Outcome) []Action {
 	return b.step(Event{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: o})
 }
 
-func (b *bench) play(id SessionID, to NodeID) []Action {
+func (b *testFront) startPlaying(id SessionID, to NodeID) []Action {
 	return b.step(Event{Kind: EvAttemptPlaying, Session: id, Node: to})
 }
 
-func TestTokenStaysUntilTheTestFails(t *testing.T) {
-	b := start(t, testConfig())
-	b.tell(0.1)
-	id, acts := b.ask(0, 42)
-	first, _, ok := sent(acts)
+func TestTokenStaysUntilAdmissionFails(t *testing.T) {
+	b := startFront(t, testConfig())
+	b.reportLinkLoads(0.1)
+	id, acts := b.request(0, 42)
+	first, _, ok := findSetup(acts)
 	if !ok {
 		t.Fatal("first session was not set up")
 	}
-	b.play(id, first)
-	_, acts = b.ask(0, 42)
-	if second, _, _ := sent(acts); second != first {
+	b.startPlaying(id, first)
+	_, acts = b.request(0, 42)
+	if second, _, _ := findSetup(acts); second != first {
 		t.Fatalf("second session went to %d, the token is at %d", second, first)
 	}
 	b.now += 10
 	b.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 1.2})
 	b.now += 600
 	b.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 1.2})
-	_, acts = b.ask(0, 42)
-	heir, _, ok := sent(acts)
+	_, acts = b.request(0, 42)
+	heir, _, ok := findSetup(acts)
 	if !ok || heir == first {
 		t.Fatalf("a full holder kept the token (sent %v to %d)", ok, heir)
 	}
 	b.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 0.1})
-	_, acts = b.ask(0, 42)
-	if now, _, _ := sent(acts); now != heir {
+	_, acts = b.request(0, 42)
+	if now, _, _ := findSetup(acts); now != heir {
 		t.Fatalf("the token left %d for %d without a failed test", heir, now)
 	}
 }
 
-func TestTokenStartsAlikeAtEveryFront(t *testing.T) {
+func TestInitialTokenHolderIsTheSameAtEveryFront(t *testing.T) {
 	one, other := testConfig(), testConfig()
 	other.Self = 1
-	a, b := start(t, one), start(t, other)
+	a, b := startFront(t, one), startFront(t, other)
 	for title := uint64(1); title < 40; title++ {
-		_, x := a.ask(0, title)
-		_, y := b.ask(0, title)
-		p, _, _ := sent(x)
-		q, _, _ := sent(y)
+		_, x := a.request(0, title)
+		_, y := b.request(0, title)
+		p, _, _ := findSetup(x)
+		q, _, _ := findSetup(y)
 		if p != q {
 			t.Fatalf("title %d starts at %d and at %d", title, p, q)
 		}
 	}
 }
 
-func TestFullAnswerPassesTheToken(t *testing.T) {
-	b := start(t, testConfig())
-	b.tell(0.1)
-	id, acts := b.ask(1, 7)
-	to, _, _ := sent(acts)
-	acts = b.settle(id, to, Full)
-	if next, _, ok := sent(acts); !ok || next == to {
+func TestFullOutcomeMovesTheToken(t *testing.T) {
+	b := startFront(t, testConfig())
+	b.reportLinkLoads(0.1)
+	id, acts := b.request(1, 7)
+	to, _, _ := findSetup(acts)
+	acts = b.endAttempt(id, to, Full)
+	if next, _, ok := findSetup(acts); !ok || next == to {
 		t.Fatalf("after full: sent %v, to %d again", ok, next)
 	}
 }
 
-func TestRefusesAtOnceWithAdvice(t *testing.T) {
-	b := start(t, testConfig())
+func TestRefusesImmediatelyWithRetryAfter(t *testing.T) {
+	b := startFront(t, testConfig())
 	b.now += 1000
-	b.tell(1.3)
-	_, acts := b.ask(0, 9)
+	b.reportLinkLoads(1.3)
+	_, acts := b.request(0, 9)
 	for _, a := range acts {
 		if a.Kind == ActRefuse && a.RetryAfterMs == 800 {
 			return
@@ -159,29 +159,29 @@
 	t.Fatalf("no refusal with advice in %+v", acts)
 }
 
-func TestLowerRungWhenTheTopDoesNotFit(t *testing.T) {
-	b := start(t, testConfig())
+func TestSetsUpAtALowerRungWhenTheHighestDoesNotFit(t *testing.T) {
+	b := startFront(t, testConfig())
 	b.now += 1000
-	b.tell(0.8)
-	_, acts := b.ask(0, 9)
-	if _, rung, ok := sent(acts); !ok || rung >= 2 {
+	b.reportLinkLoads(0.8)
+	_, acts := b.request(0, 9)
+	if _, rung, ok := findSetup(acts); !ok || rung >= 2 {
 		t.Fatalf("sent %v at rung %d; only 0.1 of a link is free", ok, rung)
 	}
 }
 
 // A front makes room for a newcomer from its own sessions rather than refusing it.
-func TestMakesRoomFromOwnSessions(t *testing.T) {
-	b := start(t, testConfig())
-	b.tell(0.0)
+func TestLowersOwnSessionsForANewRequest(t *testing.T) {
+	b := startFront(t, testConfig())
+	b.reportLinkLoads(0.0)
 	for range 4 {
-		id, acts := b.ask(0, 9)
-		to, _, _ := sent(acts)
-		b.play(id, to)
+		id, acts := b.request(0, 9)
+		to, _, _ := findSetup(acts)
+		b.startPlaying(id, to)
 	}
 	b.now += 3000
-	b.tell(0.89)
-	_, acts := b.ask(0, 9)
-	if _, _, ok := sent(acts); !ok {
+	b.reportLinkLoads(0.89)
+	_, acts := b.request(0, 9)
+	if _, _, ok := findSetup(acts); !ok {
 		t.Fatal("refused although own sessions could give way")
 	}
 	if acts[0].Kind != ActSetRung || acts[0].Rung >= 2 {
@@ -189,94 +189,94 @@
 	}
 }
 
-func TestOnceIsNeverRepeatedOrRefusedAfterADoubt(t *testing.T) {
+func TestAtMostOnceFailsAfterAnUncertainOutcome(t *testing.T) {
 	for _, o := range []Outcome{Failed, TimedOut, Reset, Cancelled} {
-		b := start(t, testConfig())
-		id, acts := b.ask(1, 5)
-		to, _, _ := sent(acts)
-		acts = b.settle(id, to, o)
-		if has(acts, ActSetup) || has(acts, ActRefuse) || !has(acts, ActFail) {
+		b := startFront(t, testConfig())
+		id, acts := b.request(1, 5)
+		to, _, _ := findSetup(acts)
+		acts = b.endAttempt(id, to, o)
+		if hasAction(acts, ActSetup) || hasAction(acts, ActRefuse) || !hasAction(acts, ActFail) {
 			t.Errorf("after outcome %d: %+v", o, acts)
 		}
 	}
 	for _, o := range []Outcome{Full, ConnectFailed} {
-		b := start(t, testConfig())
-		id, acts := b.ask(1, 5)
-		to, _, _ := sent(acts)
-		if acts = b.settle(id, to, o); !has(acts, ActSetup) {
+		b := startFront(t, testConfig())
+		id, acts := b.request(1, 5)
+		to, _, _ := findSetup(acts)
+		if acts = b.endAttempt(id, to, o); !hasAction(acts, ActSetup) {
 			t.Errorf("after outcome %d, which proves that nothing ran: %+v", o, acts)
 		}
 	}
 }
 
-func TestByKeyStaysInItsGroup(t *testing.T) {
-	b := start(t, testConfig())
-	id, acts := b.ask(2, 5)
-	to, _, _ := sent(acts)
-	acts = b.settle(id, to, TimedOut)
-	if has(acts, ActSetup) || has(acts, ActRefuse) || !has(acts, ActFail) {
+func TestIdempotentByKeyStaysInItsScope(t *testing.T) {
+	b := startFront(t, testConfig())
+	id, acts := b.request(2, 5)
+	to, _, _ := findSetup(acts)
+	acts = b.endAttempt(id, to, TimedOut)
+	if hasAction(acts, ActSetup) || hasAction(acts, ActRefuse) || !hasAction(acts, ActFail) {
 		t.Fatalf("one server a cell, scope cell: %+v", acts)
 	}
 }
 
-func TestDrainIsKeptFromTheMomentItIsTold(t *testing.T) {
-	b := start(t, testConfig())
+func TestNoSetupOnDrainingOrRemovedNodes(t *testing.T) {
+	b := startFront(t, testConfig())
 	for i := range 3 {
-		l := fleet(6)[i : i+1]
+		l := testNodes(6)[i : i+1]
 		l[0].Health = Draining
 		b.step(Event{Kind: EvNodes, Delta: true, Nodes: l})
 	}
-	if _, acts := b.ask(0, 3); has(acts, ActSetup) {
+	if _, acts := b.request(0, 3); hasAction(acts, ActSetup) {
 		t.Fatal("sent to a draining server")
 	}
-	b.step(Event{Kind: EvNodes, Nodes: fleet(6)[1:]})
+	b.step(Event{Kind: EvNodes, Nodes: testNodes(6)[1:]})
 	for title := range uint64(8) {
-		_, acts := b.ask(0, title)
-		if to, _, ok := sent(acts); !ok || to == fleet(1)[0].ID {
+		_, acts := b.request(0, title)
+		if to, _, ok := findSetup(acts); !ok || to == testNodes(1)[0].ID {
 			t.Fatalf("sent %v to %d; that server is not in the full list", ok, to)
 		}
 	}
 }
 
-func TestSeatsCountFromSendToSettled(t *testing.T) {
-	b := start(t, testConfig())
+func TestTitleCapCountsFromSetupToEnd(t *testing.T) {
+	b := startFront(t, testConfig())
 	var ids []SessionID
 	var at []NodeID
 	for range 2 {
-		id, acts := b.ask(1, 8)
-		to, _, _ := sent(acts)
+		id, acts := b.request(1, 8)
+		to, _, _ := findSetup(acts)
 		ids, at = append(ids, id), append(at, to)
 	}
-	if _, acts := b.ask(1, 8); has(acts, ActSetup) {
+	if _, acts := b.request(1, 8); hasAction(acts, ActSetup) {
 		t.Fatal("a third session of a title with two seats")
 	}
-	b.play(ids[0], at[0])
+	b.startPlaying(ids[0], at[0])
 	b.step(Event{Kind: EvAttemptEnded, Session: ids[0], Node: at[0], Outcome: Served, SessionOver: true})
-	if _, acts := b.ask(1, 8); !has(acts, ActSetup) {
+	if _, acts := b.request(1, 8); !hasAction(acts, ActSetup) {
 		t.Fatal("a freed seat was not used")
 	}
 }
 
-func TestFloorTopAndViewerBoundTheRung(t *testing.T) {
-	b := start(t, testConfig())
+func TestRungStaysWithinClassAndViewerBounds(t *testing.T) {
+	b := startFront(t, testConfig())
 	acts := b.step(Event{Kind: EvRequest, Session: 900, Class: 2, Title: 1, TimeLeftMs: 3000, Copies: 3, MaxRung: 0})
-	if has(acts, ActSetup) || !has(acts, ActRefuse) {
+	if hasAction(acts, ActSetup) || !hasAction(acts, ActRefuse) {
 		t.Fatalf("a viewer under the class's floor: %+v", acts)
 	}
 	acts = b.step(Event{Kind: EvRequest, Session: 901, Class: 2, Title: 1, TimeLeftMs: 3000, Copies: 3, MaxRung: 1})
-	if _, rung, ok := sent(acts); !ok || rung != 1 {
+	if _, rung, ok := findSetup(acts); !ok || rung != 1 {
 		t.Fatalf("sent %v at rung %d, want 1", ok, rung)
 	}
 }
 
-func TestColdServerIsPacedOverAnyWindow(t *testing.T) {
+func TestWarmUpPaceHoldsInEveryWindow(t *testing.T) {
 	cfg := testConfig()
 	cfg.WarmUpMs, cfg.StreamsByKind = 10000, []int{10}
 	total := []float64{}
 	for me := range cfg.Fronts {
 		cfg.Self = me
-		b := start(t, cfg)
-		l := fleet(6)
+		b := startFront(t, cfg)
+		l := testNodes(6)
 		for i := range l {
 			l[i].Health = Gone
 		}
@@ -284,9 +284,9 @@
 		b.step(Event{Kind: EvNodes, Nodes: l})
 		for range 900 {
 			b.now += 10
-			if _, acts := b.ask(0, 1); has(acts, ActSetup) {
+			if _, acts := b.request(0, 1); hasAction(acts, ActSetup) {
 				total = append(total, b.now)
-				b.step(Event{Kind: EvAttemptEnded, Session: b.next - 1, Node: l[0].ID, Outcome: Full})
+				b.step(Event{Kind: EvAttemptEnded, Session: b.nextSession - 1, Node: l[0].ID, Outcome: Full})
 			}
 		}
 	}
@@ -311,15 +311,15 @@
 func TestRetryBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryBudget, cfg.RetryBudgetMin, cfg.RetryBudgetRatio, cfg.RetryBudgetWindowMs = true, 1, 0.1, 5000
-	b := start(t, cfg)
+	b := startFront(t, cfg)
 	extra := 0
 	for range 20 {
-		id, acts := b.ask(0, uint64(b.next))
-		to, _, ok := sent(acts)
+		id, acts := b.request(0, uint64(b.nextSession))
+		to, _, ok := findSetup(acts)
 		if !ok {
 			continue
 		}
-		if acts = b.settle(id, to, ConnectFailed); has(acts, ActSetup) {
+		if acts = b.endAttempt(id, to, ConnectFailed); hasAction(acts, ActSetup) {
 			extra++
 		}
 		b.now += 100
@@ -330,50 +330,50 @@
 }
 
 // A front that refuses hears nothing new; its old figures must not shut it for good.
-func TestOldFullFiguresFade(t *testing.T) {
+func TestStaleHighLoadsDecay(t *testing.T) {
 	cfg := testConfig()
 	cfg.UplinkKB = 2400 // less than the faded links of a rack ask together
-	b := start(t, cfg)
-	b.tell(1.1)
-	if _, acts := b.ask(0, 2); has(acts, ActSetup) {
+	b := startFront(t, cfg)
+	b.reportLinkLoads(1.1)
+	if _, acts := b.request(0, 2); hasAction(acts, ActSetup) {
 		t.Fatal("sent to a fleet just told full")
 	}
 	b.now += 20000
-	if _, acts := b.ask(0, 2); !has(acts, ActSetup) {
+	if _, acts := b.request(0, 2); !hasAction(acts, ActSetup) {
 		t.Fatal("still shut after 20 s without any news")
 	}
 }
 
 // A fresh front first hears of full servers; the ones unheard must still be tried.
-func TestUnheardServersAreTried(t *testing.T) {
-	b := start(t, testConfig())
-	b.step(Event{Kind: EvFeedback, Node: fleet(6)[5].ID, Feedback: FeedbackLinkLoad, Value: 1.4})
-	if _, acts := b.ask(0, 2); !has(acts, ActSetup) {
+func TestNodesWithoutMeasurementsAreUsed(t *testing.T) {
+	b := startFront(t, testConfig())
+	b.step(Event{Kind: EvFeedback, Node: testNodes(6)[5].ID, Feedback: FeedbackLinkLoad, Value: 1.4})
+	if _, acts := b.request(0, 2); !hasAction(acts, ActSetup) {
 		t.Fatal("one full server shut the front")
 	}
 }
 
 // Sessions handed over at the start are in the first measurement: they are no change since then.
 func TestExistingSessionsAreNotCountedTwice(t *testing.T) {
-	b := start(t, testConfig())
-	id := fleet(1)[0].ID
+	b := startFront(t, testConfig())
+	id := testNodes(1)[0].ID
 	for i := range 4 {
 		b.step(Event{Kind: EvExistingSession, Session: SessionID(500 + i), Node: id, Title: 1, Copies: 3, MaxRung: 2})
 		b.step(Event{Kind: EvFeedback, Session: SessionID(500 + i), Node: id, Feedback: FeedbackRung, Value: 2})
 	}
 	b.now += 100
 	b.step(Event{Kind: EvFeedback, Session: 500, Node: id, Feedback: FeedbackLinkLoad, Value: 0.85})
-	if got := b.c.linkLoad(b.c.servers[id]); math.Abs(got-0.85) > 0.01 {
+	if got := b.controller.linkLoad(b.controller.nodesByID[id]); math.Abs(got-0.85) > 0.01 {
 		t.Fatalf("link load %.2f, told 0.85", got)
 	}
 }
 
 // The note of a set-up holds the new session already, whichever event of the batch comes first.
-func TestSetupNoteIsOfNow(t *testing.T) {
+func TestSetupFeedbackIncludesTheNewSession(t *testing.T) {
 	for _, playFirst := range []bool{true, false} {
-		b := start(t, testConfig())
-		id, acts := b.ask(0, 4)
-		to, _, _ := sent(acts)
+		b := startFront(t, testConfig())
+		id, acts := b.request(0, 4)
+		to, _, _ := findSetup(acts)
 		b.now += 50
 		ev := []Event{{Kind: EvAttemptPlaying, Session: id, Node: to},
 			{Kind: EvFeedback, Session: id, Node: to, Feedback: FeedbackLinkLoad, Value: 0.5}}
@@ -381,22 +381,22 @@
 			ev[0], ev[1] = ev[1], ev[0]
 		}
 		b.step(ev...)
-		if got := b.c.linkLoad(b.c.servers[to]); math.Abs(got-0.5) > 0.01 {
+		if got := b.controller.linkLoad(b.controller.nodesByID[to]); math.Abs(got-0.5) > 0.01 {
 			t.Errorf("play first %v: link load %.2f, told 0.50", playFirst, got)
 		}
 	}
 }
 
 // Late notes are silence of all servers: nothing may be done to sessions because of it.
-func TestSilenceOfAllChangesNothing(t *testing.T) {
-	b := start(t, testConfig())
-	b.tell(0.5)
-	id, acts := b.ask(0, 4)
-	to, _, _ := sent(acts)
-	b.play(id, to)
+func TestNoRungChangesWithoutNewFeedback(t *testing.T) {
+	b := startFront(t, testConfig())
+	b.reportLinkLoads(0.5)
+	id, acts := b.request(0, 4)
+	to, _, _ := findSetup(acts)
+	b.startPlaying(id, to)
 	for range 40 {
 		b.now += 500
-		for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimer}) {
+		for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
 			if a.Kind != ActTimer {
 				t.Fatalf("silence led to %+v", a)
 			}
@@ -405,8 +405,8 @@
 }
 
 func TestReliefLowersEachSessionOnce(t *testing.T) {
-	b := start(t, testConfig())
-	id := fleet(1)[0].ID
+	b := startFront(t, testConfig())
+	id := testNodes(1)[0].ID
 	for i := range 6 {
 		s := SessionID(500 + i)
 		b.step(Event{Kind: EvExistingSession, Session: s, Node: id, Title: 1, Copies: 3, MaxRung: 2},
@@ -415,7 +415,7 @@
 	b.now += 1000
 	b.step(Event{Kind: EvFeedback, Session: 500, Node: id, Feedback: FeedbackLinkLoad, Value: 2})
 	seen := map[SessionID]int{}
-	for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimer}) {
+	for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
 		if a.Kind == ActSetRung {
 			seen[a.Session]++
 		}
@@ -428,23 +428,23 @@
 			t.Errorf("session %d changed %d times in one go", s, n)
 		}
 	}
-	for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimer}) {
+	for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
 		if a.Kind == ActSetRung {
 			t.Fatal("a second relief before a later measurement")
 		}
 	}
 }
 
-func TestRaisesWhereRoomLasts(t *testing.T) {
-	b := start(t, testConfig())
-	id := fleet(1)[0].ID
+func TestRaisesToTheHighestRungInOneChange(t *testing.T) {
+	b := startFront(t, testConfig())
+	id := testNodes(1)[0].ID
 	b.step(Event{Kind: EvExistingSession, Session: 500, Node: id, Title: 1, Copies: 3, MaxRung: 2})
 	b.now += 6000
 	b.step(Event{Kind: EvFeedback, Session: 500, Node: id, Feedback: FeedbackLinkLoad, Value: 0.05},
 		Event{Kind: EvFeedback, Session: 500, Node: id, Feedback: FeedbackUplinkLoad, Value: 0.05})
 	for range 8 {
 		b.now += 250
-		for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimer}) {
+		for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
 			if a.Kind == ActSetRung && a.Session == 500 && a.Rung == 2 {
 				return
 			}
@@ -456,8 +456,8 @@
 // TestRulesOnRandomEvents feeds long random but legal event sequences and checks every action.
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := range uint64(6) {
-		first := randomRun(t, seed, true)
-		if !reflect.DeepEqual(first, randomRun(t, seed, false)) {
+		first := runRandomEvents(t, seed, true)
+		if !reflect.DeepEqual(first, runRandomEvents(t, seed, false)) {
 			t.Fatalf("seed %d: the same events gave other actions", seed)
 		}
 		if len(first) < 500 {
@@ -467,17 +467,17 @@
 }
 
 type liveSession struct {
-	class, title          int
-	deadline              float64
-	server                NodeID
-	out, playing, doubted bool
-	tries, top            int
+	class, title                     int
+	deadline                         float64
+	node                             NodeID
+	attemptOpen, playing, mayHaveRun bool
+	attempts, maxRung                int
 }
 
-func randomRun(t *testing.T, seed uint64, check bool) []Action {
+func runRandomEvents(t *testing.T, seed uint64, check bool) []Action {
 	cfg := testConfig()
 	cfg.RetryBudget, cfg.RetryBudgetMin, cfg.RetryBudgetRatio, cfg.RetryBudgetWindowMs = true, 3, 0.3, 5000
-	b := start(t, cfg)
+	b := startFront(t, cfg)
 	r := rand.New(rand.NewPCG(seed, 9))
 	live := map[SessionID]*liveSession{}
 	var order []SessionID
@@ -503,15 +503,15 @@
 		var ev Event
 		switch k := r.IntN(10); {
 		case k < 3:
-			s := &liveSession{class: r.IntN(3), title: r.IntN(5), deadline: b.now + 1000, top: r.IntN(3)}
-			live[b.next] = s
-			order = append(order, b.next)
+			s := &liveSession{class: r.IntN(3), title: r.IntN(5), deadline: b.now + 1000, maxRung: r.IntN(3)}
+			live[b.nextSession] = s
+			order = append(order, b.nextSession)
 			asked = append(asked, b.now)
-			ev = Event{Kind: EvRequest, Session: b.next, Class: s.class, Title: uint64(s.title),
-				TimeLeftMs: 1000, FirstCell: s.title, Copies: 3, MaxRung: s.top}
-			b.next++
+			ev = Event{Kind: EvRequest, Session: b.nextSession, Class: s.class, Title: uint64(s.title),
+				TimeLeftMs: 1000, FirstCell: s.title, Copies: 3, MaxRung: s.maxRung}
+			b.nextSession++
 		case k < 4:
-			l := fleet(6)
+			l := testNodes(6)
 			i := r.IntN(6)
 			l[i].Health = []Health{Ready, Ready, Draining, Gone}[r.IntN(4)]
 			if r.IntN(3) == 0 {
@@ -520,22 +520,22 @@
 			off[l[i].ID] = l[i].Health != Ready
 			ev = Event{Kind: EvNodes, Delta: true, Nodes: l[i : i+1]}
 		case k < 5:
-			ev = Event{Kind: EvFeedback, Node: fleet(6)[r.IntN(6)].ID, Feedback: FeedbackKind(1 + r.IntN(4)), Value: r.Float64() * 1.5}
+			ev = Event{Kind: EvFeedback, Node: testNodes(6)[r.IntN(6)].ID, Feedback: FeedbackKind(1 + r.IntN(4)), Value: r.Float64() * 1.5}
 		case k < 6:
-			ev = Event{Kind: EvTimer, Timer: tickTimer}
+			ev = Event{Kind: EvTimer, Timer: tickTimerID}
 		default:
 			if len(order) == 0 {
 				continue
 			}
 			id := order[r.IntN(len(order))]
 			s := live[id]
-			if s == nil || !s.out {
+			if s == nil || !s.attemptOpen {
 				continue
 			}
 			late := b.now >= s.deadline && !s.playing
 			if !s.playing && !late && r.IntN(2) == 0 {
 				s.playing = true
-				ev = Event{Kind: EvAttemptPlaying, Session: id, Node: s.server}
+				ev = Event{Kind: EvAttemptPlaying, Session: id, Node: s.node}
 				break
 			}
 			o := []Outcome{Failed, Full, TimedOut, ConnectFailed, Reset}[r.IntN(5)]
@@ -545,9 +545,9 @@
 			if s.playing {
 				o = []Outcome{Served, Reset, Cancelled}[r.IntN(3)]
 			}
-			s.out = false
-			s.doubted = s.doubted || o != Full && o != ConnectFailed
-			ev = Event{Kind: EvAttemptEnded, Session: id, Node: s.server, Outcome: o, SessionOver: s.playing}
+			s.attemptOpen = false
+			s.mayHaveRun = s.mayHaveRun || o != Full && o != ConnectFailed
+			ev = Event{Kind: EvAttemptEnded, Session: id, Node: s.node, Outcome: o, SessionOver: s.playing}
 			if s.playing {
 				delete(live, id)
 			}
@@ -558,26 +558,26 @@
 			s := live[a.Session]
 			switch a.Kind {
 			case ActSetup:
-				if s == nil || s.out || b.now >= s.deadline {
+				if s == nil || s.attemptOpen || b.now >= s.deadline {
 					fail("seed %d: set-up of %d, which is answered, out or late", seed, a.Session)
 				}
-				if s.doubted && cfg.Classes[s.class].Semantics == AtMostOnce || s.doubted && s.class == 2 {
+				if s.mayHaveRun && cfg.Classes[s.class].Semantics == AtMostOnce || s.mayHaveRun && s.class == 2 {
 					fail("seed %d: a set-up that may have run was sent again", seed)
 				}
 				if off[a.Node] {
 					fail("seed %d: set-up to a server told off", seed)
 				}
-				if s.tries++; s.tries > cfg.MaxAttempts {
-					fail("seed %d: attempt %d", seed, s.tries)
+				if s.attempts++; s.attempts > cfg.MaxAttempts {
+					fail("seed %d: attempt %d", seed, s.attempts)
 				}
-				if s.tries > 1 {
+				if s.attempts > 1 {
 					extras = append(extras, b.now)
 					if recent(extras) > cfg.RetryBudgetMin+cfg.RetryBudgetRatio*recent(asked) {
 						fail("seed %d: retry budget broken", seed)
 					}
 				}
 				cell := -1
-				for _, f := range fleet(6) {
+				for _, f := range testNodes(6) {
 					if f.ID == a.Node {
 						cell = f.Cell
 					}
@@ -585,10 +585,10 @@
 				if (cell-s.title+6)%6 > 2 {
 					fail("seed %d: cell %d does not hold title %d", seed, cell, s.title)
 				}
-				s.out, s.server = true, a.Node
+				s.attemptOpen, s.node = true, a.Node
 				n := 0
 				for _, o := range live {
-					if o.out && o.class == 1 && s.class == 1 && o.title == s.title {
+					if o.attemptOpen && o.class == 1 && s.class == 1 && o.title == s.title {
 						n++
 					}
 				}
@@ -596,21 +596,21 @@
 					fail("seed %d: %d sessions on 2 seats", seed, n)
 				}
 			case ActSetRung:
-				if s == nil || a.Rung > s.top || a.Rung < cfg.Classes[s.class].MinRung {
+				if s == nil || a.Rung > s.maxRung || a.Rung < cfg.Classes[s.class].MinRung {
 					fail("seed %d: rung %d for session %+v", seed, a.Rung, s)
 				}
 			case ActRefuse, ActFail:
-				if s == nil || s.out {
+				if s == nil || s.attemptOpen {
 					fail("seed %d: second answer for %d", seed, a.Session)
 				}
-				if a.Kind == ActRefuse && s.doubted && s.class != 0 {
+				if a.Kind == ActRefuse && s.mayHaveRun && s.class != 0 {
 					fail("seed %d: refused a set-up that may have run", seed)
 				}
 				delete(live, a.Session)
 			}
 		}
 		for id, s := range live {
-			if !s.out {
+			if !s.attemptOpen {
 				fail("seed %d: request %d is held without an attempt", seed, id)
 			}
 		}
@@ -619,174 +619,174 @@
 }
 
 // One noisy report must not turn the estimate around.
-func TestAReportCountsInPart(t *testing.T) {
-	b := start(t, testConfig())
-	id := fleet(1)[0].ID
-	b.tell(0.4)
+func TestLoadReportIsWeighted(t *testing.T) {
+	b := startFront(t, testConfig())
+	id := testNodes(1)[0].ID
+	b.reportLinkLoads(0.4)
 	b.now += 1000
 	b.step(Event{Kind: EvAttemptEnded, Session: 77, Node: id, Outcome: Served, SessionOver: true,
 		Report: Report{Present: true, Streams: -1, Link: 1.2, Uplink: -1}})
-	if got := b.c.linkLoad(b.c.servers[id]); got < 0.6 || got > 1.0 {
+	if got := b.controller.linkLoad(b.controller.nodesByID[id]); got < 0.6 || got > 1.0 {
 		t.Fatalf("told 0.4 by note and 1.2 by report: estimate %.2f", got)
 	}
 }
 
 // Two servers short alike behind an uplink that nobody tells point to the uplink, not to their links.
-func TestUntoldUplinkIsLearned(t *testing.T) {
-	b := start(t, testConfig())
-	b.tell(0.5)
+func TestUplinkCapacityIsInferredFromRateShares(t *testing.T) {
+	b := startFront(t, testConfig())
+	b.reportLinkLoads(0.5)
 	b.now += 600
 	for range 2 {
 		for _, i := range []int{0, 2, 4} { // the servers of one rack
-			b.step(Event{Kind: EvFeedback, Node: fleet(6)[i].ID, Feedback: FeedbackRateShare, Value: 0.7})
+			b.step(Event{Kind: EvFeedback, Node: testNodes(6)[i].ID, Feedback: FeedbackRateShare, Value: 0.7})
 		}
 	}
-	r := b.c.servers[fleet(1)[0].ID].rack
-	if load := b.c.rackLoad(r); load < 1.3 || r.up.cap > 0.6*3000 {
-		t.Fatalf("uplink load %.2f and %.0f kB/s; shares of 0.7 at links of 0.5", load, r.up.cap)
+	r := b.controller.nodesByID[testNodes(1)[0].ID].rack
+	if load := b.controller.uplinkLoad(r); load < 1.3 || r.uplink.capacityKB > 0.6*3000 {
+		t.Fatalf("uplink load %.2f and %.0f kB/s; shares of 0.7 at links of 0.5", load, r.uplink.capacityKB)
 	}
-	if l := b.c.linkLoad(b.c.servers[fleet(6)[4].ID]); l > 1 {
+	if l := b.controller.linkLoad(b.controller.nodesByID[testNodes(6)[4].ID]); l > 1 {
 		t.Fatalf("the link is booked with %.2f for a shortage of the uplink", l)
 	}
 }
 
 // Without told places or weights all links are taken to be alike.
-func TestLinksWithoutPlacesOrWeights(t *testing.T) {
+func TestLinksAreEqualWithoutStreamLimitsOrWeights(t *testing.T) {
 	cfg := testConfig()
 	cfg.StreamsByKind, cfg.WeightsKnown = nil, false
-	b := start(t, cfg)
-	for _, s := range b.c.order {
-		if s.link.cap != 1000 {
-			t.Fatalf("a link of %v kB/s; 6000 for six", s.link.cap)
+	b := startFront(t, cfg)
+	for _, s := range b.controller.nodes {
+		if s.link.capacityKB != 1000 {
+			t.Fatalf("a link of %v kB/s; 6000 for six", s.link.capacityKB)
 		}
 	}
 }
 
 // A request that must leave places free is not set up on the last ones; one that need not is.
-func TestSpareIsLeftFree(t *testing.T) {
+func TestHeadroomIsLeftFree(t *testing.T) {
 	cfg := testConfig()
 	cfg.StreamsByKind, cfg.Cells = []int{4}, 6
-	b := start(t, cfg)
-	b.tell(0)
+	b := startFront(t, cfg)
+	b.reportLinkLoads(0)
 	for id := SessionID(1); id <= 3; id++ { // three of four places of the only holder
 		acts := b.step(Event{Kind: EvRequest, Session: id, Title: 42, TimeLeftMs: 3000, Copies: 1, MaxRung: 0})
-		to, _, _ := sent(acts)
-		b.play(id, to)
+		to, _, _ := findSetup(acts)
+		b.startPlaying(id, to)
 	}
-	if _, _, ok := sent(b.step(Event{Kind: EvRequest, Session: 8, Title: 42, TimeLeftMs: 3000, Copies: 1, Headroom: 0.25})); ok {
+	if _, _, ok := findSetup(b.step(Event{Kind: EvRequest, Session: 8, Title: 42, TimeLeftMs: 3000, Copies: 1, Headroom: 0.25})); ok {
 		t.Error("the last place went to a request that must leave a quarter free")
 	}
-	if _, _, ok := sent(b.step(Event{Kind: EvRequest, Session: 9, Title: 42, TimeLeftMs: 3000, Copies: 1})); !ok {
+	if _, _, ok := findSetup(b.step(Event{Kind: EvRequest, Session: 9, Title: 42, TimeLeftMs: 3000, Copies: 1})); !ok {
 		t.Error("the last place is not given at all")
 	}
 }
 
 // A request that no server can use errs at each of them; the servers must stay in use for others.
-func TestABadRequestShutsNoServer(t *testing.T) {
-	b := start(t, testConfig())
-	b.tell(0.1)
+func TestBadRequestEjectsNoNode(t *testing.T) {
+	b := startFront(t, testConfig())
+	b.reportLinkLoads(0.1)
 	for title := uint64(1); title <= 3; title++ { // a bad request and a good one in turn
-		id, acts := b.ask(0, title)
-		for to, _, ok := sent(acts); ok; to, _, ok = sent(acts) {
-			acts = b.settle(id, to, Failed)
+		id, acts := b.request(0, title)
+		for to, _, ok := findSetup(acts); ok; to, _, ok = findSetup(acts) {
+			acts = b.endAttempt(id, to, Failed)
 		}
-		if !has(acts, ActRefuse) {
+		if !hasAction(acts, ActRefuse) {
 			t.Fatalf("title %d: a repeatable request that errs everywhere gets %v, want a refusal at once", title, acts)
 		}
-		id, acts = b.ask(1, 100+title)
-		to, _, ok := sent(acts)
+		id, acts = b.request(1, 100+title)
+		to, _, ok := findSetup(acts)
 		if !ok {
 			t.Fatalf("after %d bad requests a paid one finds no server: %v", title, acts)
 		}
-		b.play(id, to)
+		b.startPlaying(id, to)
 	}
-	for _, v := range b.c.order {
-		if v.fails > 0 || v.until > b.now {
-			t.Fatalf("server %d is shut after errors of bad requests: fails %d", v.ID, v.fails)
+	for _, v := range b.controller.nodes {
+		if v.consecutiveFailures > 0 || v.ejectedUntil > b.now {
+			t.Fatalf("server %d is shut after errors of bad requests: fails %d", v.ID, v.consecutiveFailures)
 		}
 	}
 }
 
 // Two bad requests that err at one server before either has erred at another shut nothing; two good ones that play
 // elsewhere shut it.
-func TestErrorsThatCrossShutNoServer(t *testing.T) {
+func TestInterleavedErrorsAreAttributedByTheNextAttempt(t *testing.T) {
 	for name, bad := range map[string]bool{"bad requests": true, "a bad server": false} {
-		b := start(t, testConfig())
-		b.tell(0.1)
-		one, acts := b.ask(0, 42)
-		v, _, _ := sent(acts)
-		two, acts := b.ask(0, 42)
-		if at, _, _ := sent(acts); at != v {
+		b := startFront(t, testConfig())
+		b.reportLinkLoads(0.1)
+		one, acts := b.request(0, 42)
+		v, _, _ := findSetup(acts)
+		two, acts := b.request(0, 42)
+		if at, _, _ := findSetup(acts); at != v {
 			t.Fatalf("%s: sent to %d and %d", name, v, at)
 		}
 		next := map[SessionID][]Action{}
 		for _, id := range []SessionID{one, two} {
-			next[id] = b.settle(id, v, Failed)
+			next[id] = b.endAttempt(id, v, Failed)
 		}
 		for id, acts := range next {
-			to, _, ok := sent(acts)
+			to, _, ok := findSetup(acts)
 			if !ok || to == v {
 				t.Fatalf("%s: no second attempt elsewhere: %v", name, acts)
 			}
 			if bad {
-				b.settle(id, to, Failed)
+				b.endAttempt(id, to, Failed)
 			} else {
-				b.play(id, to)
+				b.startPlaying(id, to)
 			}
 		}
-		if s := b.c.servers[v]; (s.until > b.now) == bad {
-			t.Errorf("%s: shut until %v at %v", name, s.until, b.now)
+		if s := b.controller.nodesByID[v]; (s.ejectedUntil > b.now) == bad {
+			t.Errorf("%s: shut until %v at %v", name, s.ejectedUntil, b.now)
 		}
 	}
 }
 
 // A set-up whose connection broke neither shuts its server nor makes it cold; two in a row shut it, and a session that
 // breaks while it plays means that the server was lost.
-func TestOneBrokenConnectionIsNoLostServer(t *testing.T) {
-	b := start(t, testConfig())
-	b.tell(0.1)
-	broken := func() *server {
-		id, acts := b.ask(1, 42)
-		to, _, ok := sent(acts)
+func TestOneResetNeitherEjectsNorRestartsWarmUp(t *testing.T) {
+	b := startFront(t, testConfig())
+	b.reportLinkLoads(0.1)
+	broken := func() *nodeState {
+		id, acts := b.request(1, 42)
+		to, _, ok := findSetup(acts)
 		if !ok {
 			t.Fatalf("not set up: %v", acts)
 		}
-		if acts = b.settle(id, to, Reset); !has(acts, ActFail) {
+		if acts = b.endAttempt(id, to, Reset); !hasAction(acts, ActFail) {
 			t.Fatalf("a paid set-up that broke gets %v, want a failure", acts)
 		}
-		return b.c.servers[to]
+		return b.controller.nodesByID[to]
 	}
 	v := broken()
-	if v.fails != 0 || v.lost || v.until > b.now {
-		t.Fatalf("after one break: fails %d, lost %v, shut until %v at %v", v.fails, v.lost, v.until, b.now)
+	if v.consecutiveFailures != 0 || v.presumedDown || v.ejectedUntil > b.now {
+		t.Fatalf("after one break: fails %d, lost %v, shut until %v at %v", v.consecutiveFailures, v.presumedDown, v.ejectedUntil, b.now)
 	}
-	id, acts := b.ask(0, 42)
-	to, _, _ := sent(acts)
-	if b.play(id, to); to != v.ID || b.c.cold(v) {
-		t.Fatalf("the next goes to %d, want %d; cold %v", to, v.ID, b.c.cold(v))
+	id, acts := b.request(0, 42)
+	to, _, _ := findSetup(acts)
+	if b.startPlaying(id, to); to != v.ID || b.controller.warmingUp(v) {
+		t.Fatalf("the next goes to %d, want %d; cold %v", to, v.ID, b.controller.warmingUp(v))
 	}
 	broken()
-	if broken(); v.fails != 1 || v.until <= b.now {
-		t.Fatalf("after two breaks in a row: fails %d, shut until %v at %v", v.fails, v.until, b.now)
+	if broken(); v.consecutiveFailures != 1 || v.ejectedUntil <= b.now {
+		t.Fatalf("after two breaks in a row: fails %d, shut until %v at %v", v.consecutiveFailures, v.ejectedUntil, b.now)
 	}
 	b.step(Event{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: Reset, SessionOver: true})
-	if !v.lost {
+	if !v.presumedDown {
 		t.Fatal("a session that broke while it played does not mark its server as lost")
 	}
 }
 
 // Servers are replaced under new names all the time; those that have gone are forgotten, after a while, and not before
 // their sessions have ended.
-func TestGoneServersAreForgotten(t *testing.T) {
+func TestRemovedNodesAreForgotten(t *testing.T) {
 	for _, whole := range []bool{true, false} {
-		b := start(t, testConfig())
-		b.tell(0.1)
-		id, acts := b.ask(0, 42)
-		to, _, _ := sent(acts)
-		b.play(id, to)
+		b := startFront(t, testConfig())
+		b.reportLinkLoads(0.1)
+		id, acts := b.request(0, 42)
+		to, _, _ := findSetup(acts)
+		b.startPlaying(id, to)
 		list := func(l ...Node) { b.step(Event{Kind: EvNodes, Nodes: l, Delta: !whole}) }
 		next := Node{ID: 9000, Weight: 1}
-		all := fleet(6)
+		all := testNodes(6)
 		for i := range all {
 			all[i].Health = Gone
 		}
@@ -794,43 +794,43 @@
 			all = nil
 		}
 		list(append(all, next)...)
-		if len(b.c.order) != 7 {
-			t.Fatalf("whole %v: %d servers are known, want 7 for a while", whole, len(b.c.order))
+		if len(b.controller.nodes) != 7 {
+			t.Fatalf("whole %v: %d servers are known, want 7 for a while", whole, len(b.controller.nodes))
 		}
-		b.now += forgetMs + 1
+		b.now += removedNodeRetentionMs + 1
 		list(next)
-		if len(b.c.order) != 2 || len(b.c.servers) != 2 || b.c.servers[to] == nil {
-			t.Fatalf("whole %v: %d servers are known, want the new one and that with a session", whole, len(b.c.order))
+		if len(b.controller.nodes) != 2 || len(b.controller.nodesByID) != 2 || b.controller.nodesByID[to] == nil {
+			t.Fatalf("whole %v: %d servers are known, want the new one and that with a session", whole, len(b.controller.nodes))
 		}
 		b.step(Event{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: Reset, SessionOver: true})
 		list(next)
-		if len(b.c.order) != 1 || len(b.c.servers) != 1 {
-			t.Fatalf("whole %v: %d servers are known, want 1", whole, len(b.c.order))
+		if len(b.controller.nodes) != 1 || len(b.controller.nodesByID) != 1 {
+			t.Fatalf("whole %v: %d servers are known, want 1", whole, len(b.controller.nodes))
 		}
-		list(next, fleet(6)[0]) // back
-		if v := b.c.servers[fleet(6)[0].ID]; v == nil || v.off {
+		list(next, testNodes(6)[0]) // back
+		if v := b.controller.nodesByID[testNodes(6)[0].ID]; v == nil || v.unavailable {
 			t.Fatalf("whole %v: a server that is back can't be used", whole)
 		}
 	}
 }
 
 // A flood of titles must not fill the table of tokens.
-func TestTokensAreBounded(t *testing.T) {
-	b := start(t, testConfig())
-	b.tell(0.1)
-	for title := uint64(1); len(b.c.tokens) < tokensMost-1; title++ {
-		b.c.tokens[title] = b.c.order[0]
+func TestPlacementTokensAreBounded(t *testing.T) {
+	b := startFront(t, testConfig())
+	b.reportLinkLoads(0.1)
+	for title := uint64(1); len(b.controller.placementTokens) < maxPlacementTokens-1; title++ {
+		b.controller.placementTokens[title] = b.controller.nodes[0]
 	}
 	for title := uint64(1 << 40); title < 1<<40+20; title++ {
-		id, acts := b.ask(0, title)
-		to, _, ok := sent(acts)
+		id, acts := b.request(0, title)
+		to, _, ok := findSetup(acts)
 		if !ok {
 			t.Fatalf("not set up: %v", acts)
 		}
-		b.play(id, to)
+		b.startPlaying(id, to)
 		b.step(Event{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: Served, SessionOver: true})
 	}
-	if n := len(b.c.tokens); n == 0 || n > tokensMost {
-		t.Fatalf("%d tokens are kept, at most %d are allowed", n, tokensMost)
+	if n := len(b.controller.placementTokens); n == 0 || n > maxPlacementTokens {
+		t.Fatalf("%d tokens are kept, at most %d are allowed", n, maxPlacementTokens)
 	}
 }
--- a/size_test.go
+++ b/size_test.go
@@ -9,7 +9,7 @@
 
 // Tests of what many fronts do together, each knowing little.
 
-func bigFleet(n int) []Node {
+func largeFleet(n int) []Node {
 	var l []Node
 	for i := range n {
 		l = append(l, Node{ID: NodeID(1001 + 13*i), Cell: i, Weight: 1, Zone: i % 3})
@@ -17,14 +17,14 @@
 	return l
 }
 
-func bigConfig(fronts, servers int) Config {
+func largeConfig(fronts, servers int) Config {
 	cfg := testConfig()
 	cfg.Fronts, cfg.Cells, cfg.Racks = fronts, servers, servers/5
 	cfg.TotalLinkKB, cfg.UplinkKB = float64(servers)*1000, 5000
 	return cfg
 }
 
-func front(t testing.TB, cfg Config, seed uint64, servers []Node) *Controller {
+func newFront(t testing.TB, cfg Config, seed uint64, servers []Node) *Controller {
 	t.Helper()
 	c, err := New(cfg, seed)
 	if err != nil {
@@ -35,14 +35,14 @@
 }
 
 // The wanted rung must not fall only because there are more fronts.
-func TestPriceDoesNotDependOnTheNumberOfFronts(t *testing.T) {
+func TestShadowPriceIsIndependentOfTheNumberOfFronts(t *testing.T) {
 	rungs := map[int]int{}
 	for _, fronts := range []int{3, 300} {
-		c := front(t, bigConfig(fronts, 30), 1, bigFleet(30))
-		for _, s := range bigFleet(3) {
+		c := newFront(t, largeConfig(fronts, 30), 1, largeFleet(30))
+		for _, s := range largeFleet(3) {
 			c.Step(1e6, []Event{{Kind: EvFeedback, Node: s.ID, Feedback: FeedbackLinkLoad, Value: 0.1}}, nil)
 		}
-		_, rungs[fronts], _ = sent(c.Step(1e6, []Event{{Kind: EvRequest, Session: 1, Title: 5,
+		_, rungs[fronts], _ = findSetup(c.Step(1e6, []Event{{Kind: EvRequest, Session: 1, Title: 5,
 			TimeLeftMs: 3000, Copies: 3, MaxRung: 2}}, nil))
 	}
 	if rungs[3] != rungs[300] || rungs[300] != 2 {
@@ -51,17 +51,17 @@
 }
 
 // A title's token starts in the front's own zone, at the same holder for all fronts of the zone.
-func TestHomeOfEachZone(t *testing.T) {
+func TestTokensStartInTheFrontsOwnZone(t *testing.T) {
 	for zone := range 3 {
 		homes := map[uint64]NodeID{}
 		for me := range 2 {
-			cfg := bigConfig(300, 30)
+			cfg := largeConfig(300, 30)
 			cfg.Self, cfg.Zone = me, zone
-			c := front(t, cfg, uint64(me), bigFleet(30))
+			c := newFront(t, cfg, uint64(me), largeFleet(30))
 			for title := uint64(1); title < 20; title++ {
-				to, _, _ := sent(c.Step(1e6, []Event{{Kind: EvRequest, Session: SessionID(title), Title: title,
+				to, _, _ := findSetup(c.Step(1e6, []Event{{Kind: EvRequest, Session: SessionID(title), Title: title,
 					TimeLeftMs: 3000, FirstCell: int(title), Copies: 6, MaxRung: 0}}, nil))
-				if z := c.servers[to].Zone; z != zone {
+				if z := c.nodesByID[to].Zone; z != zone {
 					t.Fatalf("front of zone %d starts title %d in zone %d", zone, title, z)
 				}
 				if me > 0 && homes[title] != to {
@@ -74,29 +74,29 @@
 }
 
 // A front that has heard many full servers takes the unheard ones to be full too.
-func TestUnheardServersCountAsTheMeanHeard(t *testing.T) {
-	c := front(t, bigConfig(300, 60), 1, bigFleet(60))
+func TestNodesWithoutMeasurementsCountAsTheMean(t *testing.T) {
+	c := newFront(t, largeConfig(300, 60), 1, largeFleet(60))
 	ask := Event{Kind: EvRequest, Session: 1, Title: 5, TimeLeftMs: 3000, FirstCell: 50, Copies: 3, MaxRung: 2}
-	for i, s := range bigFleet(40) {
+	for i, s := range largeFleet(40) {
 		c.Step(1e6+float64(i)*10, []Event{{Kind: EvFeedback, Node: s.ID, Feedback: FeedbackLinkLoad, Value: 1.1}}, nil)
 	}
-	if _, _, ok := sent(c.Step(1e6+400, []Event{ask}, nil)); ok {
+	if _, _, ok := findSetup(c.Step(1e6+400, []Event{ask}, nil)); ok {
 		t.Fatal("sent to an unheard server of a fleet that is full everywhere")
 	}
 }
 
 // together runs 100 fronts with one session each on one server at a told load and sums the change of rates.
-func together(t *testing.T, load float64, rung int) (kb float64) {
+func totalRateChangeKB(t *testing.T, load float64, rung int) (kb float64) {
 	for me := range 100 {
-		cfg := bigConfig(100, 10)
+		cfg := largeConfig(100, 10)
 		cfg.Self = me
-		c := front(t, cfg, uint64(me), bigFleet(10))
-		id := bigFleet(1)[0].ID
+		c := newFront(t, cfg, uint64(me), largeFleet(10))
+		id := largeFleet(1)[0].ID
 		c.Step(1e6, []Event{{Kind: EvExistingSession, Session: 1, Node: id, Title: 1, Copies: 3, MaxRung: 2},
 			{Kind: EvFeedback, Session: 1, Node: id, Feedback: FeedbackRung, Value: float64(rung)}}, nil)
 		c.Step(1e6+6000, []Event{{Kind: EvFeedback, Session: 1, Node: id, Feedback: FeedbackLinkLoad, Value: load},
 			{Kind: EvFeedback, Session: 1, Node: id, Feedback: FeedbackUplinkLoad, Value: 0.5}}, nil)
-		for _, a := range c.Step(1e6+6250, []Event{{Kind: EvTimer, Timer: tickTimer}}, nil) {
+		for _, a := range c.Step(1e6+6250, []Event{{Kind: EvTimer, Timer: tickTimerID}}, nil) {
 			if a.Kind == ActSetRung {
 				kb += cfg.RateKB[a.Rung] - cfg.RateKB[rung]
 			}
@@ -106,42 +106,42 @@
 }
 
 // All fronts together fill or free about what is told, whatever their number: neither nobody nor everybody.
-func TestManyFrontsRaiseAboutTheRoom(t *testing.T) {
+func TestManyFrontsRaiseAboutTheFreeCapacity(t *testing.T) {
 	asked := 100 * 50.0 // by all, told as a load of 0.6: a room of a third of it up to 0.80
-	if kb := together(t, 0.6, 0); kb < 0.15*asked || kb > 0.6*asked {
+	if kb := totalRateChangeKB(t, 0.6, 0); kb < 0.15*asked || kb > 0.6*asked {
 		t.Fatalf("%v kB/s raised where about %v were free", kb, asked/3)
 	}
 }
 
 func TestManyFrontsLowerAboutTheExcess(t *testing.T) {
 	asked := 100 * 200.0
-	excess := asked * (1.2 - reliefTo) / 1.2
-	if kb := -together(t, 1.2, 2); kb < 0.6*excess || kb > 1.5*excess {
+	excess := asked * (1.2 - reliefTargetLoad) / 1.2
+	if kb := -totalRateChangeKB(t, 1.2, 2); kb < 0.6*excess || kb > 1.5*excess {
 		t.Fatalf("%v kB/s lowered where %v were too much", kb, excess)
 	}
 }
 
 // Where rung 1 earns most for a kB, a newcomer that fits only at the floor is refused, and relief stops there.
-func TestNoSetUpUnderTheBestRungForAKB(t *testing.T) {
+func TestNoSetupBelowTheEfficientRung(t *testing.T) {
 	cfg := testConfig()
 	cfg.RungWorth = []float64{0.2, 0.6, 1}
-	b := start(t, cfg)
-	b.tell(mark - 0.06) // 60 of 1000 kB/s: room for the floor of 50, not for 100
-	if _, acts := b.ask(0, 2); has(acts, ActSetup) {
+	b := startFront(t, cfg)
+	b.reportLinkLoads(setupLoadLimit - 0.06) // 60 of 1000 kB/s: room for the floor of 50, not for 100
+	if _, acts := b.request(0, 2); hasAction(acts, ActSetup) {
 		t.Fatal("set up at the floor, which earns less for a kB")
 	}
-	b.tell(0.4)
-	if _, acts := b.ask(0, 2); !has(acts, ActSetup) {
+	b.reportLinkLoads(0.4)
+	if _, acts := b.request(0, 2); !hasAction(acts, ActSetup) {
 		t.Fatal("refused where there is room")
 	}
 }
 
-func TestReliefKeepsTheBestRungUntilItIsWorse(t *testing.T) {
+func TestReliefStopsAtTheEfficientRungUntilDeepOverload(t *testing.T) {
 	for _, load := range []float64{1.05, 1.9} {
 		cfg := testConfig()
 		cfg.RungWorth = []float64{0.2, 0.6, 1}
-		b := start(t, cfg)
-		id := fleet(1)[0].ID
+		b := startFront(t, cfg)
+		id := testNodes(1)[0].ID
 		var ev []Event
 		for i := range SessionID(10) {
 			ev = append(ev, Event{Kind: EvExistingSession, Session: 500 + i, Node: id, Title: 1, Copies: 3, MaxRung: 2},
@@ -151,30 +151,30 @@
 		b.now += 6000
 		b.step(Event{Kind: EvFeedback, Session: 500, Node: id, Feedback: FeedbackLinkLoad, Value: load})
 		b.now += 250
-		lowered := has(b.step(Event{Kind: EvTimer, Timer: tickTimer}), ActSetRung)
-		if want := load > worseAt; lowered != want {
+		lowered := hasAction(b.step(Event{Kind: EvTimer, Timer: tickTimerID}), ActSetRung)
+		if want := load > deepReliefThreshold; lowered != want {
 			t.Fatalf("at load %v lowered is %v, want %v", load, lowered, want)
 		}
 	}
 }
 
 // The first report of a server is all that is known of it; half of a guess must not dilute it.
-func TestFirstReportCountsInFull(t *testing.T) {
-	b := start(t, testConfig())
-	id, acts := b.ask(0, 3)
-	to, _, _ := sent(acts)
+func TestFirstLoadReportCountsInFull(t *testing.T) {
+	b := startFront(t, testConfig())
+	id, acts := b.request(0, 3)
+	to, _, _ := findSetup(acts)
 	b.step(Event{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: Full, SessionOver: true,
 		Report: Report{Present: true, Streams: -1, Link: 1.2, Uplink: -1}})
-	if l := b.c.linkLoad(b.c.servers[to]); l < 1.1 {
+	if l := b.controller.linkLoad(b.controller.nodesByID[to]); l < 1.1 {
 		t.Fatalf("link estimate %v after a first report of 1.2", l)
 	}
 }
 
 // 300 fronts press one cold server at the same time; together they must stay under its budget, and some must send.
-func TestColdServerAtThreeHundredFronts(t *testing.T) {
-	cfg := bigConfig(300, 10)
+func TestWarmUpPaceWithThreeHundredFronts(t *testing.T) {
+	cfg := largeConfig(300, 10)
 	cfg.WarmUpMs, cfg.StreamsByKind = 10000, []int{30}
-	l := bigFleet(10)
+	l := largeFleet(10)
 	for i := range l {
 		l[i].Health = Gone
 	}
@@ -182,13 +182,13 @@
 	var fronts []*Controller
 	for me := range cfg.Fronts {
 		cfg.Self = me
-		fronts = append(fronts, front(t, cfg, uint64(me), l))
+		fronts = append(fronts, newFront(t, cfg, uint64(me), l))
 	}
 	var at []float64
 	for now := 1e6; now < 1e6+cfg.WarmUpMs; now += 50 {
 		for _, c := range fronts {
 			ev := Event{Kind: EvRequest, Session: SessionID(now-1e6) + 1, Title: 1, TimeLeftMs: 3000, Copies: 3}
-			if to, _, ok := sent(c.Step(now, []Event{ev}, nil)); ok {
+			if to, _, ok := findSetup(c.Step(now, []Event{ev}, nil)); ok {
 				at = append(at, now)
 				c.Step(now, []Event{{Kind: EvAttemptEnded, Session: ev.Session, Node: to, Outcome: Full, SessionOver: true}}, nil)
 			}
@@ -213,12 +213,12 @@
 
 // 300 fronts that date a cold server's start each by itself, some of which start again in between and whose connections
 // come up late: in any TipMs it gets no more than it bears, and sparse fronts still warm it.
-func TestColdServerForAllFrontsTogether(t *testing.T) {
+func TestWarmUpPaceWithRestartsAndLateConnections(t *testing.T) {
 	const n, warm, tip = 300, 12000.0, 1000.0
 	for name, every := range map[string]float64{"pressed": 10, "sparse": 1000} {
-		cfg := bigConfig(n, 10)
+		cfg := largeConfig(n, 10)
 		cfg.WarmUpMs, cfg.ColdRateFraction, cfg.ColdWindowMs, cfg.ConnectTimeoutMs, cfg.StreamsByKind = warm, 0.4, tip, 250, []int{316}
-		l := bigFleet(10)
+		l := largeFleet(10)
 		for i := range l {
 			l[i].Health = Gone
 		}
@@ -242,7 +242,7 @@
 					c, again = begin(now), math.Inf(1)
 				}
 				ev := Event{Kind: EvRequest, Session: SessionID(now-1e6) + 1, Title: 1, TimeLeftMs: 3000, Copies: 3}
-				if to, _, ok := sent(c.Step(now, []Event{ev}, nil)); ok {
+				if to, _, ok := findSetup(c.Step(now, []Event{ev}, nil)); ok {
 					at = append(at, now+cfg.ConnectTimeoutMs*r.Float64())
 					c.Step(now, []Event{{Kind: EvAttemptEnded, Session: ev.Session, Node: to, Outcome: NeverSent, SessionOver: true}}, nil)
 				}
@@ -269,16 +269,16 @@
 }
 
 // An empty list, titles without holders, every title everywhere, a late batch and a jump of the clock.
-func TestEdgesAtSize(t *testing.T) {
-	c := front(t, bigConfig(300, 300), 1, nil)
+func TestEdgeCasesInALargeFleet(t *testing.T) {
+	c := newFront(t, largeConfig(300, 300), 1, nil)
 	ask := func(now float64, id SessionID, copies int) []Action {
 		return c.Step(now, []Event{{Kind: EvRequest, Session: id, Title: uint64(id), TimeLeftMs: 3000,
-			FirstCell: int(id), Copies: copies, MaxRung: 2}, {Kind: EvTimer, Timer: tickTimer}}, nil)
+			FirstCell: int(id), Copies: copies, MaxRung: 2}, {Kind: EvTimer, Timer: tickTimerID}}, nil)
 	}
-	if !has(ask(1e6, 1, 3), ActRefuse) {
+	if !hasAction(ask(1e6, 1, 3), ActRefuse) {
 		t.Fatal("no answer with an empty list")
 	}
-	c.Step(1e6+1, []Event{{Kind: EvNodes, Nodes: bigFleet(300)}}, nil)
+	c.Step(1e6+1, []Event{{Kind: EvNodes, Nodes: largeFleet(300)}}, nil)
 	var backlog []Event
 	for i := range SessionID(200) {
 		backlog = append(backlog, Event{Kind: EvRequest, Session: 100 + i, Title: uint64(i), TimeLeftMs: 3000,
@@ -293,20 +293,20 @@
 	if len(answered) != len(backlog) {
 		t.Fatalf("%d of %d requests of a late batch were dealt with", len(answered), len(backlog))
 	}
-	if acts := ask(1e9, 900, 3); !has(acts, ActSetup) && !has(acts, ActRefuse) {
+	if acts := ask(1e9, 900, 3); !hasAction(acts, ActSetup) && !hasAction(acts, ActRefuse) {
 		t.Fatal("no decision after a jump of the clock")
 	}
-	if acts := ask(1e9+1, 901, 0); !has(acts, ActRefuse) {
+	if acts := ask(1e9+1, 901, 0); !hasAction(acts, ActRefuse) {
 		t.Fatal("a title that nobody holds was not refused")
 	}
 }
 
 // BenchmarkRequest is one request where all 250 servers hold the title; its figure is for reading.
 func BenchmarkRequest(b *testing.B) {
-	c := front(b, bigConfig(300, 250), 1, bigFleet(250))
+	c := newFront(b, largeConfig(300, 250), 1, largeFleet(250))
 	for i := range b.N {
 		id := SessionID(i + 1)
-		to, _, ok := sent(c.Step(1e6, []Event{{Kind: EvRequest, Session: id, Title: 7, TimeLeftMs: 3000,
+		to, _, ok := findSetup(c.Step(1e6, []Event{{Kind: EvRequest, Session: id, Title: 7, TimeLeftMs: 3000,
 			Copies: 250, MaxRung: 2}}, nil))
 		if ok {
 			c.Step(1e6, []Event{{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: Served, SessionOver: true}}, nil)
