--- a/api.go
+++ b/api.go
@@ -85,26 +85,27 @@
 	Classes             []Class   // indexed by Event.Class
 	RateKB              []float64 // the ladder: rate of each rung
 	RungWorth           []float64 // what a second at each rung earns
-	Cells, Racks        int
-	StreamsByKind       []int   // limit of concurrent streams of each kind of node
-	LinkKBPerWeight     float64 // link capacity for each unit of Node.Weight
-	TotalLinkKB         float64 // capacity of all links together at the start
-	UplinkKB            float64 // mean capacity of a rack's uplink
-	WeightsKnown        bool    // Node.Weight tells the nodes' sizes apart
-	RungChangeCostS     float64 // cost of a rung change, in seconds of worth
-	ReportIntervalMs    float64 // time between two measurements of a load; 0 = none are sent
-	ReportDelayMs       float64 // age of a measurement on arrival
-	MaxAttempts         int     // attempts for one request
-	MaxRetryAfterMs     float64 // retry time that a refusal advises if RetryAfter is set
-	RetryAfter          bool    // refusals advise when to retry
-	SubscribeToNodes    bool    // the node list must be subscribed to
-	WarmUpMs            float64 // time for which a started node is cold
-	ColdRateFraction    float64 // lowest set-up rate of a cold node, as a fraction of its streams per WarmUpMs
-	ColdWindowMs        float64 // window in which a cold node bears its set-up rate plus a random excess
-	ConnectTimeoutMs    float64 // time that a set-up may wait for a connection
-	RetryBudget         bool    // the three fields below apply
-	RetryBudgetMin      float64 // further attempts that are always allowed within the window
-	RetryBudgetRatio    float64 // further attempts allowed for each request within the window
+	Cells               int       // number of cells
+	Racks               int       // number of racks
+	StreamsByKind       []int     // limit of concurrent streams of each kind of node
+	LinkKBPerWeight     float64   // link capacity for each unit of Node.Weight
+	TotalLinkKB         float64   // capacity of all links together at the start
+	UplinkKB            float64   // mean capacity of a rack's uplink
+	WeightsKnown        bool      // Node.Weight tells the nodes' sizes apart
+	RungChangeCostS     float64   // cost of a rung change, in seconds of worth
+	ReportIntervalMs    float64   // time between two measurements of a load; 0 = none are sent
+	ReportDelayMs       float64   // age of a measurement on arrival
+	MaxAttempts         int       // attempts for one request
+	MaxRetryAfterMs     float64   // retry time that a refusal advises if RetryAfter is set
+	RetryAfter          bool      // refusals advise when to retry
+	SubscribeToNodes    bool      // the node list must be subscribed to
+	WarmUpMs            float64   // time for which a started node is cold
+	ColdRateFraction    float64   // lowest set-up rate of a cold node, as a fraction of its streams per WarmUpMs
+	ColdWindowMs        float64   // window in which a cold node bears its set-up rate plus a random excess
+	ConnectTimeoutMs    float64   // time that a set-up may wait for a connection
+	RetryBudget         bool      // the three fields below apply
+	RetryBudgetMin      float64   // further attempts that are always allowed within the window
+	RetryBudgetRatio    float64   // further attempts allowed for each request within the window
 	RetryBudgetWindowMs float64
 }
 
--- a/api_test.go
+++ b/api_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestValidateErrorNamesTheField(t *testing.T) {
-	for want, spoil := range map[string]func(*Config){
+	for want, invalidate := range map[string]func(*Config){
 		"Classes is empty": func(c *Config) { c.Classes = nil },
 		"RungWorth":        func(c *Config) { c.RungWorth = c.RungWorth[:1] },
 		"RateKB[1]":        func(c *Config) { c.RateKB[1] = math.NaN() },
@@ -22,42 +22,42 @@
 		"StreamsByKind[0]": func(c *Config) { c.StreamsByKind[0] = -1 },
 		"MaxAttempts 0":    func(c *Config) { c.MaxAttempts = 0 },
 	} {
-		c := testConfig()
-		spoil(&c)
-		if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), want) {
+		cfg := testConfig()
+		invalidate(&cfg)
+		if _, err := New(cfg, 1); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v does not name %q", err, want)
 		}
 	}
 }
 
-// The policy files that the deploy file names exist, hold code and keep to the line length of 110 characters.
+// The policy files named in deploy/balancer.toml exist, hold code and keep to lines of 110 characters.
 func TestPolicyFilesKeepTheLineLength(t *testing.T) {
 	deploy, err := os.ReadFile("deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := regexp.MustCompile(`(?m)^policy\s*=\s*\[(.*)\]`).FindSubmatch(deploy)
-	if list == nil {
+	fileList := regexp.MustCompile(`(?m)^policy\s*=\s*\[(.*)\]`).FindSubmatch(deploy)
+	if fileList == nil {
 		t.Fatal("deploy/balancer.toml names no policy files")
 	}
 	lines := 0
-	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
-		f, err := os.Open(string(name[1]))
+	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(fileList[1], -1) {
+		file, err := os.Open(string(name[1]))
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer f.Close()
-		sc := bufio.NewScanner(f)
-		for n := 1; sc.Scan(); n++ {
-			text := strings.ReplaceAll(sc.Text(), "\t", "    ")
+		defer file.Close()
+		scanner := bufio.NewScanner(file)
+		for line := 1; scanner.Scan(); line++ {
+			text := strings.ReplaceAll(scanner.Text(), "\t", "    ")
 			if strings.TrimSpace(text) != "" {
 				lines++
 			}
 			if len([]rune(text)) > 110 {
-				t.Errorf("%s:%d is %d characters long", name[1], n, len([]rune(text)))
+				t.Errorf("%s:%d is %d characters long", name[1], line, len([]rune(text)))
 			}
 		}
-		if err := sc.Err(); err != nil {
+		if err := scanner.Err(); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/controller.go
+++ b/controller.go
@@ -30,7 +30,8 @@
 // A node accepts set-ups according to these states:
 //
 //	state        fields                           set-ups
-//	closed       consecutiveFailures == 0         admitted by load
+//	closed       consecutiveFailures == 0         admitted by load; a certain failure, or the second
+//	                                              suspected one in a row, opens it
 //	open         now < ejectedUntil               none, until the back-off is over
 //	half-open    consecutiveFailures > 0          one at a time and none of an AtMostOnce class; playing
 //	                                              closes it, a failure opens it for twice as long, up to
--- a/controller_test.go
+++ b/controller_test.go
@@ -7,27 +7,30 @@
 	"testing"
 )
 
-// testConfig is a small fleet: 6 cells in 2 racks, links of 1000 kB/s, uplinks of 3000.
+// testConfig is a small fleet: 6 cells in 2 racks, links of 1000 kB/s, uplinks of 3000. Class 0 is Repeatable,
+// class 1 AtMostOnce with a cap of 2 sessions per title, class 2 IdempotentByKey within a cell.
 func testConfig() Config {
 	return Config{Fronts: 2, Classes: []Class{
 		{TargetMs: 1000, Semantics: Repeatable, Value: 1, RateScale: 1, MaxRung: 2},
 		{TargetMs: 1000, Semantics: AtMostOnce, Value: 3, RateScale: 1, MaxRung: 2, MaxPerTitle: 2},
-		{TargetMs: 1000, Semantics: IdempotentByKey, KeyScope: ScopeCell, KeyTTLMs: 2000, Value: 1, RateScale: 1, MinRung: 1, MaxRung: 2}},
+		{TargetMs: 1000, Semantics: IdempotentByKey, KeyScope: ScopeCell, KeyTTLMs: 2000, Value: 1,
+			RateScale: 1, MinRung: 1, MaxRung: 2}},
 		RateKB: []float64{50, 100, 200}, RungWorth: []float64{0.3, 0.6, 1}, Cells: 6, Racks: 2, StreamsByKind: []int{20},
 		LinkKBPerWeight: 1000, TotalLinkKB: 6000, UplinkKB: 3000, WeightsKnown: true, RungChangeCostS: 0.5,
 		ReportIntervalMs: 2000, ReportDelayMs: 500, MaxAttempts: 3, MaxRetryAfterMs: 800, RetryAfter: true,
 		WarmUpMs: 10000, ColdRateFraction: 0.5}
 }
 
-func testNodes(n int) []Node {
-	var l []Node
-	for i := range n {
-		l = append(l, Node{ID: NodeID(101 + 7*i), Cell: i % 6, Weight: 1, Zone: i % 2})
+// testNodes returns up to 6 nodes for testConfig, one in each cell.
+func testNodes(count int) []Node {
+	var nodes []Node
+	for i := range count {
+		nodes = append(nodes, Node{ID: NodeID(101 + 7*i), Cell: i % 6, Weight: 1, Zone: i % 2})
 	}
-	return l
+	return nodes
 }
 
-// bench drives one controller and keeps its clock.
+// testFront drives one Controller and keeps its clock.
 type testFront struct {
 	t           *testing.T
 	controller  *Controller
@@ -35,275 +38,281 @@
 	nextSession SessionID
 }
 
+// startFront starts a front that knows all of testNodes.
 func startFront(t *testing.T, cfg Config) *testFront {
 	t.Helper()
-	c, err := New(cfg, 1)
+	controller, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &testFront{t: t, controller: c, now: 1e6, nextSession: 1}
-	b.step(Event{Kind: EvNodes, Nodes: testNodes(6)})
-	return b
+	front := &testFront{t: t, controller: controller, now: 1e6, nextSession: 1}
+	front.step(Event{Kind: EvNodes, Nodes: testNodes(6)})
+	return front
 }
 
-func (b *testFront) step(ev ...Event) []Action { return b.controller.Step(b.now, ev, nil) }
+func (f *testFront) step(events ...Event) []Action { return f.controller.Step(f.now, events, nil) }
 
-func (b *testFront) request(class int, title uint64) (SessionID, []Action) {
-	id := b.nextSession
-	b.nextSession++
-	return id, b.step(Event{Kind: EvRequest, Session: id, Class: class, Title: title, TimeLeftMs: 3000,
+func (f *testFront) request(class int, title uint64) (SessionID, []Action) {
+	id := f.nextSession
+	f.nextSession++
+	return id, f.step(Event{Kind: EvRequest, Session: id, Class: class, Title: title, TimeLeftMs: 3000,
 		Copies: 3, MaxRung: 2})
 }
 
-// sent finds the set-up among actions, with the rung set just before it.
-func findSetup(acts []Action) (to NodeID, rung int, ok bool) {
-	for _, a := range acts {
-		switch a.Kind {
+// findSetup returns the node of the set-up among the actions, and the rung set just before it.
+func findSetup(actions []Action) (node NodeID, rung int, ok bool) {
+	for _, action := range actions {
+		switch action.Kind {
 		case ActSetRung:
-			rung = a.Rung
+			rung = action.Rung
 		case ActSetup:
-			return a.Node, rung, true
+			return action.Node, rung, true
 		}
 	}
 	return 0, 0, false
 }
 
-func hasAction(acts []Action, k ActionKind) bool {
-	for _, a := range acts {
-		if a.Kind == k {
+func hasAction(actions []Action, kind ActionKind) bool {
+	for _, action := range actions {
+		if action.Kind == kind {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *testFront) reportLinkLoads(load float64) {
-	for _, s := range testNodes(6) {
-		b.step(Event{Kind: EvFeedback, Node: s.ID, Feedback: FeedbackLinkLoad, Value: load})
+// reportLinkLoads reports the same link load for all nodes.
+func (f *testFront) reportLinkLoads(load float64) {
+	for _, node := range testNodes(6) {
+		f.step(Event{Kind: EvFeedback, Node: node.ID, Feedback: FeedbackLinkLoad, Value: load})
 	}
 }
 
-func (b *testFront) endAttempt(id SessionID, to NodeID, o Outcome) []Action {
-	return b.step(Event{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: o})
+func (f *testFront) endAttempt(id SessionID, node NodeID, outcome Outcome) []Action {
+	return f.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: outcome})
 }
 
-func (b *testFront) startPlaying(id SessionID, to NodeID) []Action {
-	return b.step(Event{Kind: EvAttemptPlaying, Session: id, Node: to})
+func (f *testFront) startPlaying(id SessionID, node NodeID) []Action {
+	return f.step(Event{Kind: EvAttemptPlaying, Session: id, Node: node})
 }
 
 func TestTokenStaysUntilAdmissionFails(t *testing.T) {
-	b := startFront(t, testConfig())
-	b.reportLinkLoads(0.1)
-	id, acts := b.request(0, 42)
-	first, _, ok := findSetup(acts)
+	front := startFront(t, testConfig())
+	front.reportLinkLoads(0.1)
+	id, actions := front.request(0, 42)
+	first, _, ok := findSetup(actions)
 	if !ok {
-		t.Fatal("first session was not set up")
+		t.Fatal("the first session was not set up")
 	}
-	b.startPlaying(id, first)
-	_, acts = b.request(0, 42)
-	if second, _, _ := findSetup(acts); second != first {
-		t.Fatalf("second session went to %d, the token is at %d", second, first)
+	front.startPlaying(id, first)
+	_, actions = front.request(0, 42)
+	if second, _, _ := findSetup(actions); second != first {
+		t.Fatalf("the second session went to node %d, the token is at node %d", second, first)
 	}
-	b.now += 10
-	b.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 1.2})
-	b.now += 600
-	b.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 1.2})
-	_, acts = b.request(0, 42)
-	heir, _, ok := findSetup(acts)
-	if !ok || heir == first {
-		t.Fatalf("a full holder kept the token (sent %v to %d)", ok, heir)
+	front.now += 10
+	front.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 1.2})
+	front.now += 600
+	front.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 1.2})
+	_, actions = front.request(0, 42)
+	successor, _, ok := findSetup(actions)
+	if !ok || successor == first {
+		t.Fatalf("an overloaded holder kept the token (set up: %v, on node %d)", ok, successor)
 	}
-	b.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 0.1})
-	_, acts = b.request(0, 42)
-	if now, _, _ := findSetup(acts); now != heir {
-		t.Fatalf("the token left %d for %d without a failed test", heir, now)
+	front.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 0.1})
+	_, actions = front.request(0, 42)
+	if now, _, _ := findSetup(actions); now != successor {
+		t.Fatalf("the token moved from node %d to node %d without a failed admission test", successor, now)
 	}
 }
 
 func TestInitialTokenHolderIsTheSameAtEveryFront(t *testing.T) {
-	one, other := testConfig(), testConfig()
-	other.Self = 1
-	a, b := startFront(t, one), startFront(t, other)
+	oneConfig, otherConfig := testConfig(), testConfig()
+	otherConfig.Self = 1
+	one, other := startFront(t, oneConfig), startFront(t, otherConfig)
 	for title := uint64(1); title < 40; title++ {
-		_, x := a.request(0, title)
-		_, y := b.request(0, title)
-		p, _, _ := findSetup(x)
-		q, _, _ := findSetup(y)
-		if p != q {
-			t.Fatalf("title %d starts at %d and at %d", title, p, q)
+		_, oneActions := one.request(0, title)
+		_, otherActions := other.request(0, title)
+		oneNode, _, _ := findSetup(oneActions)
+		otherNode, _, _ := findSetup(otherActions)
+		if oneNode != otherNode {
+			t.Fatalf("title %d starts on node %d at one front and on node %d at the other", title, oneNode, otherNode)
 		}
 	}
 }
 
 func TestFullOutcomeMovesTheToken(t *testing.T) {
-	b := startFront(t, testConfig())
-	b.reportLinkLoads(0.1)
-	id, acts := b.request(1, 7)
-	to, _, _ := findSetup(acts)
-	acts = b.endAttempt(id, to, Full)
-	if next, _, ok := findSetup(acts); !ok || next == to {
-		t.Fatalf("after full: sent %v, to %d again", ok, next)
+	front := startFront(t, testConfig())
+	front.reportLinkLoads(0.1)
+	id, actions := front.request(1, 7)
+	node, _, _ := findSetup(actions)
+	actions = front.endAttempt(id, node, Full)
+	if next, _, ok := findSetup(actions); !ok || next == node {
+		t.Fatalf("after Full: next set-up %v, on node %d", ok, next)
 	}
 }
 
 func TestRefusesImmediatelyWithRetryAfter(t *testing.T) {
-	b := startFront(t, testConfig())
-	b.now += 1000
-	b.reportLinkLoads(1.3)
-	_, acts := b.request(0, 9)
-	for _, a := range acts {
-		if a.Kind == ActRefuse && a.RetryAfterMs == 800 {
+	front := startFront(t, testConfig())
+	front.now += 1000
+	front.reportLinkLoads(1.3)
+	_, actions := front.request(0, 9)
+	for _, action := range actions {
+		if action.Kind == ActRefuse && action.RetryAfterMs == 800 {
 			return
 		}
 	}
-	t.Fatalf("no refusal with advice in %+v", acts)
+	t.Fatalf("no refusal with RetryAfterMs 800 in %+v", actions)
 }
 
 func TestSetsUpAtALowerRungWhenTheHighestDoesNotFit(t *testing.T) {
-	b := startFront(t, testConfig())
-	b.now += 1000
-	b.reportLinkLoads(0.8)
-	_, acts := b.request(0, 9)
-	if _, rung, ok := findSetup(acts); !ok || rung >= 2 {
-		t.Fatalf("sent %v at rung %d; only 0.1 of a link is free", ok, rung)
+	front := startFront(t, testConfig())
+	front.now += 1000
+	front.reportLinkLoads(0.8)
+	_, actions := front.request(0, 9)
+	if _, rung, ok := findSetup(actions); !ok || rung >= 2 {
+		t.Fatalf("set up: %v, at rung %d; only 0.1 of a link is free", ok, rung)
 	}
 }
 
-// A front makes room for a newcomer from its own sessions rather than refusing it.
+// A front lowers its own sessions for a new request rather than refusing it.
 func TestLowersOwnSessionsForANewRequest(t *testing.T) {
-	b := startFront(t, testConfig())
-	b.reportLinkLoads(0.0)
+	front := startFront(t, testConfig())
+	front.reportLinkLoads(0.0)
 	for range 4 {
-		id, acts := b.request(0, 9)
-		to, _, _ := findSetup(acts)
-		b.startPlaying(id, to)
+		id, actions := front.request(0, 9)
+		node, _, _ := findSetup(actions)
+		front.startPlaying(id, node)
 	}
-	b.now += 3000
-	b.reportLinkLoads(0.89)
-	_, acts := b.request(0, 9)
-	if _, _, ok := findSetup(acts); !ok {
-		t.Fatal("refused although own sessions could give way")
+	front.now += 3000
+	front.reportLinkLoads(0.89)
+	_, actions := front.request(0, 9)
+	if _, _, ok := findSetup(actions); !ok {
+		t.Fatal("refused although own sessions could be lowered")
 	}
-	if acts[0].Kind != ActSetRung || acts[0].Rung >= 2 {
-		t.Fatalf("no playing session was lowered first: %+v", acts)
+	if actions[0].Kind != ActSetRung || actions[0].Rung >= 2 {
+		t.Fatalf("no playing session was lowered first: %+v", actions)
 	}
 }
 
+// After an outcome that leaves open whether the set-up ran, an AtMostOnce request is neither repeated nor
+// refused, but failed. After one that proves that nothing ran it is attempted again.
 func TestAtMostOnceFailsAfterAnUncertainOutcome(t *testing.T) {
-	for _, o := range []Outcome{Failed, TimedOut, Reset, Cancelled} {
-		b := startFront(t, testConfig())
-		id, acts := b.request(1, 5)
-		to, _, _ := findSetup(acts)
-		acts = b.endAttempt(id, to, o)
-		if hasAction(acts, ActSetup) || hasAction(acts, ActRefuse) || !hasAction(acts, ActFail) {
-			t.Errorf("after outcome %d: %+v", o, acts)
+	for _, outcome := range []Outcome{Failed, TimedOut, Reset, Cancelled} {
+		front := startFront(t, testConfig())
+		id, actions := front.request(1, 5)
+		node, _, _ := findSetup(actions)
+		actions = front.endAttempt(id, node, outcome)
+		if hasAction(actions, ActSetup) || hasAction(actions, ActRefuse) || !hasAction(actions, ActFail) {
+			t.Errorf("after outcome %d: %+v", outcome, actions)
 		}
 	}
-	for _, o := range []Outcome{Full, ConnectFailed} {
-		b := startFront(t, testConfig())
-		id, acts := b.request(1, 5)
-		to, _, _ := findSetup(acts)
-		if acts = b.endAttempt(id, to, o); !hasAction(acts, ActSetup) {
-			t.Errorf("after outcome %d, which proves that nothing ran: %+v", o, acts)
+	for _, outcome := range []Outcome{Full, ConnectFailed} {
+		front := startFront(t, testConfig())
+		id, actions := front.request(1, 5)
+		node, _, _ := findSetup(actions)
+		if actions = front.endAttempt(id, node, outcome); !hasAction(actions, ActSetup) {
+			t.Errorf("after outcome %d, which proves that nothing ran: %+v", outcome, actions)
 		}
 	}
 }
 
 func TestIdempotentByKeyStaysInItsScope(t *testing.T) {
-	b := startFront(t, testConfig())
-	id, acts := b.request(2, 5)
-	to, _, _ := findSetup(acts)
-	acts = b.endAttempt(id, to, TimedOut)
-	if hasAction(acts, ActSetup) || hasAction(acts, ActRefuse) || !hasAction(acts, ActFail) {
-		t.Fatalf("one server a cell, scope cell: %+v", acts)
+	front := startFront(t, testConfig())
+	id, actions := front.request(2, 5)
+	node, _, _ := findSetup(actions)
+	actions = front.endAttempt(id, node, TimedOut)
+	if hasAction(actions, ActSetup) || hasAction(actions, ActRefuse) || !hasAction(actions, ActFail) {
+		t.Fatalf("key scope is a cell, and the cell has one node: %+v", actions)
 	}
 }
 
 func TestNoSetupOnDrainingOrRemovedNodes(t *testing.T) {
-	b := startFront(t, testConfig())
+	front := startFront(t, testConfig())
 	for i := range 3 {
-		l := testNodes(6)[i : i+1]
-		l[0].Health = Draining
-		b.step(Event{Kind: EvNodes, Delta: true, Nodes: l})
+		nodes := testNodes(6)[i : i+1]
+		nodes[0].Health = Draining
+		front.step(Event{Kind: EvNodes, Delta: true, Nodes: nodes})
 	}
-	if _, acts := b.request(0, 3); hasAction(acts, ActSetup) {
-		t.Fatal("sent to a draining server")
+	if _, actions := front.request(0, 3); hasAction(actions, ActSetup) {
+		t.Fatal("set up on a draining node")
 	}
-	b.step(Event{Kind: EvNodes, Nodes: testNodes(6)[1:]})
+	front.step(Event{Kind: EvNodes, Nodes: testNodes(6)[1:]})
 	for title := range uint64(8) {
-		_, acts := b.request(0, title)
-		if to, _, ok := findSetup(acts); !ok || to == testNodes(1)[0].ID {
-			t.Fatalf("sent %v to %d; that server is not in the full list", ok, to)
+		_, actions := front.request(0, title)
+		if node, _, ok := findSetup(actions); !ok || node == testNodes(1)[0].ID {
+			t.Fatalf("set up: %v, on node %d; that node is not in the full list", ok, node)
 		}
 	}
 }
 
 func TestTitleCapCountsFromSetupToEnd(t *testing.T) {
-	b := startFront(t, testConfig())
+	front := startFront(t, testConfig())
 	var ids []SessionID
-	var at []NodeID
+	var nodes []NodeID
 	for range 2 {
-		id, acts := b.request(1, 8)
-		to, _, _ := findSetup(acts)
-		ids, at = append(ids, id), append(at, to)
+		id, actions := front.request(1, 8)
+		node, _, _ := findSetup(actions)
+		ids, nodes = append(ids, id), append(nodes, node)
 	}
-	if _, acts := b.request(1, 8); hasAction(acts, ActSetup) {
-		t.Fatal("a third session of a title with two seats")
+	if _, actions := front.request(1, 8); hasAction(actions, ActSetup) {
+		t.Fatal("a third session was set up for a title with a cap of two")
 	}
-	b.startPlaying(ids[0], at[0])
-	b.step(Event{Kind: EvAttemptEnded, Session: ids[0], Node: at[0], Outcome: Served, SessionOver: true})
-	if _, acts := b.request(1, 8); !hasAction(acts, ActSetup) {
-		t.Fatal("a freed seat was not used")
+	front.startPlaying(ids[0], nodes[0])
+	front.step(Event{Kind: EvAttemptEnded, Session: ids[0], Node: nodes[0], Outcome: Served, SessionOver: true})
+	if _, actions := front.request(1, 8); !hasAction(actions, ActSetup) {
+		t.Fatal("no session was set up after one of the title had ended")
 	}
 }
 
 func TestRungStaysWithinClassAndViewerBounds(t *testing.T) {
-	b := startFront(t, testConfig())
-	acts := b.step(Event{Kind: EvRequest, Session: 900, Class: 2, Title: 1, TimeLeftMs: 3000, Copies: 3, MaxRung: 0})
-	if hasAction(acts, ActSetup) || !hasAction(acts, ActRefuse) {
-		t.Fatalf("a viewer under the class's floor: %+v", acts)
+	front := startFront(t, testConfig())
+	actions := front.step(Event{Kind: EvRequest, Session: 900, Class: 2, Title: 1, TimeLeftMs: 3000, Copies: 3,
+		MaxRung: 0})
+	if hasAction(actions, ActSetup) || !hasAction(actions, ActRefuse) {
+		t.Fatalf("the viewer's MaxRung is below the class's MinRung: %+v", actions)
 	}
-	acts = b.step(Event{Kind: EvRequest, Session: 901, Class: 2, Title: 1, TimeLeftMs: 3000, Copies: 3, MaxRung: 1})
-	if _, rung, ok := findSetup(acts); !ok || rung != 1 {
-		t.Fatalf("sent %v at rung %d, want 1", ok, rung)
+	actions = front.step(Event{Kind: EvRequest, Session: 901, Class: 2, Title: 1, TimeLeftMs: 3000, Copies: 3,
+		MaxRung: 1})
+	if _, rung, ok := findSetup(actions); !ok || rung != 1 {
+		t.Fatalf("set up: %v, at rung %d, want rung 1", ok, rung)
 	}
 }
 
 func TestWarmUpPaceHoldsInEveryWindow(t *testing.T) {
 	cfg := testConfig()
 	cfg.WarmUpMs, cfg.StreamsByKind = 10000, []int{10}
-	total := []float64{}
-	for me := range cfg.Fronts {
-		cfg.Self = me
-		b := startFront(t, cfg)
-		l := testNodes(6)
-		for i := range l {
-			l[i].Health = Gone
-		}
-		l[0].Health, l[0].StartedAtMs = Ready, b.now
-		b.step(Event{Kind: EvNodes, Nodes: l})
+	setupTimes := []float64{}
+	for self := range cfg.Fronts {
+		cfg.Self = self
+		front := startFront(t, cfg)
+		nodes := testNodes(6)
+		for i := range nodes {
+			nodes[i].Health = Gone
+		}
+		nodes[0].Health, nodes[0].StartedAtMs = Ready, front.now
+		front.step(Event{Kind: EvNodes, Nodes: nodes})
 		for range 900 {
-			b.now += 10
-			if _, acts := b.request(0, 1); hasAction(acts, ActSetup) {
-				total = append(total, b.now)
-				b.step(Event{Kind: EvAttemptEnded, Session: b.nextSession - 1, Node: l[0].ID, Outcome: Full})
+			front.now += 10
+			if _, actions := front.request(0, 1); hasAction(actions, ActSetup) {
+				setupTimes = append(setupTimes, front.now)
+				front.step(Event{Kind: EvAttemptEnded, Session: front.nextSession - 1, Node: nodes[0].ID, Outcome: Full})
 			}
 		}
 	}
-	if len(total) < 2 {
-		t.Fatalf("%d set-ups in a warm-up: the server is starved", len(total))
+	if len(setupTimes) < 2 {
+		t.Fatalf("%d set-ups in a warm-up: the node gets too few", len(setupTimes))
 	}
-	const factor, window = 2, 1000.0 // the fleet falls over beyond factor times its pace for window ms
-	for _, from := range total {
-		n := 0.0
-		for _, at := range total {
-			if at >= from && at < from+window {
-				n++
+	const factor, windowMs = 2, 1000.0 // a node fails beyond factor times its pace during windowMs
+	for _, from := range setupTimes {
+		count := 0.0
+		for _, at := range setupTimes {
+			if at >= from && at < from+windowMs {
+				count++
 			}
 		}
-		budget := factor * float64(cfg.StreamsByKind[0]) / cfg.WarmUpMs * cfg.ColdRateFraction * window
-		if n > budget+1 {
-			t.Fatalf("%v set-ups of both fronts within %v ms, budget %v", n, window, budget)
+		budget := factor * float64(cfg.StreamsByKind[0]) / cfg.WarmUpMs * cfg.ColdRateFraction * windowMs
+		if count > budget+1 {
+			t.Fatalf("%v set-ups of both fronts within %v ms, budget %v", count, windowMs, budget)
 		}
 	}
 }
@@ -311,149 +320,151 @@
 func TestRetryBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryBudget, cfg.RetryBudgetMin, cfg.RetryBudgetRatio, cfg.RetryBudgetWindowMs = true, 1, 0.1, 5000
-	b := startFront(t, cfg)
-	extra := 0
+	front := startFront(t, cfg)
+	furtherAttempts := 0
 	for range 20 {
-		id, acts := b.request(0, uint64(b.nextSession))
-		to, _, ok := findSetup(acts)
+		id, actions := front.request(0, uint64(front.nextSession))
+		node, _, ok := findSetup(actions)
 		if !ok {
 			continue
 		}
-		if acts = b.endAttempt(id, to, ConnectFailed); hasAction(acts, ActSetup) {
-			extra++
+		if actions = front.endAttempt(id, node, ConnectFailed); hasAction(actions, ActSetup) {
+			furtherAttempts++
 		}
-		b.now += 100
+		front.now += 100
 	}
-	if extra < 1 || extra > 3 {
-		t.Fatalf("%d further attempts for 20 requests; 1 + 0.1 each are allowed", extra)
+	if furtherAttempts < 1 || furtherAttempts > 3 {
+		t.Fatalf("%d further attempts for 20 requests; 1 + 0.1 each are allowed", furtherAttempts)
 	}
 }
 
-// A front that refuses hears nothing new; its old figures must not shut it for good.
+// A front that refuses everything gets no new measurements; stale high loads must not make it refuse forever.
 func TestStaleHighLoadsDecay(t *testing.T) {
 	cfg := testConfig()
-	cfg.UplinkKB = 2400 // less than the faded links of a rack ask together
-	b := startFront(t, cfg)
-	b.reportLinkLoads(1.1)
-	if _, acts := b.request(0, 2); hasAction(acts, ActSetup) {
-		t.Fatal("sent to a fleet just told full")
+	cfg.UplinkKB = 2400 // less than the decayed links of a rack ask for together
+	front := startFront(t, cfg)
+	front.reportLinkLoads(1.1)
+	if _, actions := front.request(0, 2); hasAction(actions, ActSetup) {
+		t.Fatal("set up although all links were just reported as overloaded")
 	}
-	b.now += 20000
-	if _, acts := b.request(0, 2); !hasAction(acts, ActSetup) {
-		t.Fatal("still shut after 20 s without any news")
+	front.now += 20000
+	if _, actions := front.request(0, 2); !hasAction(actions, ActSetup) {
+		t.Fatal("still refused after 20 s without any measurement")
 	}
 }
 
-// A fresh front first hears of full servers; the ones unheard must still be tried.
+// A new front gets its first measurement from a full node; nodes without one must still be used.
 func TestNodesWithoutMeasurementsAreUsed(t *testing.T) {
-	b := startFront(t, testConfig())
-	b.step(Event{Kind: EvFeedback, Node: testNodes(6)[5].ID, Feedback: FeedbackLinkLoad, Value: 1.4})
-	if _, acts := b.request(0, 2); !hasAction(acts, ActSetup) {
-		t.Fatal("one full server shut the front")
+	front := startFront(t, testConfig())
+	front.step(Event{Kind: EvFeedback, Node: testNodes(6)[5].ID, Feedback: FeedbackLinkLoad, Value: 1.4})
+	if _, actions := front.request(0, 2); !hasAction(actions, ActSetup) {
+		t.Fatal("refused because of one overloaded node")
 	}
 }
 
-// Sessions handed over at the start are in the first measurement: they are no change since then.
+// The first measurement includes sessions that were under way at the start; they are no change since then.
 func TestExistingSessionsAreNotCountedTwice(t *testing.T) {
-	b := startFront(t, testConfig())
-	id := testNodes(1)[0].ID
+	front := startFront(t, testConfig())
+	node := testNodes(1)[0].ID
 	for i := range 4 {
-		b.step(Event{Kind: EvExistingSession, Session: SessionID(500 + i), Node: id, Title: 1, Copies: 3, MaxRung: 2})
-		b.step(Event{Kind: EvFeedback, Session: SessionID(500 + i), Node: id, Feedback: FeedbackRung, Value: 2})
+		front.step(Event{Kind: EvExistingSession, Session: SessionID(500 + i), Node: node, Title: 1, Copies: 3,
+			MaxRung: 2})
+		front.step(Event{Kind: EvFeedback, Session: SessionID(500 + i), Node: node, Feedback: FeedbackRung, Value: 2})
 	}
-	b.now += 100
-	b.step(Event{Kind: EvFeedback, Session: 500, Node: id, Feedback: FeedbackLinkLoad, Value: 0.85})
-	if got := b.controller.linkLoad(b.controller.nodesByID[id]); math.Abs(got-0.85) > 0.01 {
-		t.Fatalf("link load %.2f, told 0.85", got)
+	front.now += 100
+	front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, Value: 0.85})
+	if got := front.controller.linkLoad(front.controller.nodesByID[node]); math.Abs(got-0.85) > 0.01 {
+		t.Fatalf("link load %.2f, measured 0.85", got)
 	}
 }
 
-// The note of a set-up holds the new session already, whichever event of the batch comes first.
+// The measurement sent at set-up includes the new session, whichever event of the batch comes first.
 func TestSetupFeedbackIncludesTheNewSession(t *testing.T) {
 	for _, playFirst := range []bool{true, false} {
-		b := startFront(t, testConfig())
-		id, acts := b.request(0, 4)
-		to, _, _ := findSetup(acts)
-		b.now += 50
-		ev := []Event{{Kind: EvAttemptPlaying, Session: id, Node: to},
-			{Kind: EvFeedback, Session: id, Node: to, Feedback: FeedbackLinkLoad, Value: 0.5}}
+		front := startFront(t, testConfig())
+		id, actions := front.request(0, 4)
+		node, _, _ := findSetup(actions)
+		front.now += 50
+		events := []Event{{Kind: EvAttemptPlaying, Session: id, Node: node},
+			{Kind: EvFeedback, Session: id, Node: node, Feedback: FeedbackLinkLoad, Value: 0.5}}
 		if !playFirst {
-			ev[0], ev[1] = ev[1], ev[0]
+			events[0], events[1] = events[1], events[0]
 		}
-		b.step(ev...)
-		if got := b.controller.linkLoad(b.controller.nodesByID[to]); math.Abs(got-0.5) > 0.01 {
-			t.Errorf("play first %v: link load %.2f, told 0.50", playFirst, got)
+		front.step(events...)
+		if got := front.controller.linkLoad(front.controller.nodesByID[node]); math.Abs(got-0.5) > 0.01 {
+			t.Errorf("play first %v: link load %.2f, measured 0.50", playFirst, got)
 		}
 	}
 }
 
-// Late notes are silence of all servers: nothing may be done to sessions because of it.
+// When feedback is late for all nodes, no session may be changed because of it.
 func TestNoRungChangesWithoutNewFeedback(t *testing.T) {
-	b := startFront(t, testConfig())
-	b.reportLinkLoads(0.5)
-	id, acts := b.request(0, 4)
-	to, _, _ := findSetup(acts)
-	b.startPlaying(id, to)
+	front := startFront(t, testConfig())
+	front.reportLinkLoads(0.5)
+	id, actions := front.request(0, 4)
+	node, _, _ := findSetup(actions)
+	front.startPlaying(id, node)
 	for range 40 {
-		b.now += 500
-		for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
-			if a.Kind != ActTimer {
-				t.Fatalf("silence led to %+v", a)
+		front.now += 500
+		for _, action := range front.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
+			if action.Kind != ActTimer {
+				t.Fatalf("without new feedback: %+v", action)
 			}
 		}
 	}
 }
 
 func TestReliefLowersEachSessionOnce(t *testing.T) {
-	b := startFront(t, testConfig())
-	id := testNodes(1)[0].ID
+	front := startFront(t, testConfig())
+	node := testNodes(1)[0].ID
 	for i := range 6 {
-		s := SessionID(500 + i)
-		b.step(Event{Kind: EvExistingSession, Session: s, Node: id, Title: 1, Copies: 3, MaxRung: 2},
-			Event{Kind: EvFeedback, Session: s, Node: id, Feedback: FeedbackRung, Value: 2})
+		id := SessionID(500 + i)
+		front.step(Event{Kind: EvExistingSession, Session: id, Node: node, Title: 1, Copies: 3, MaxRung: 2},
+			Event{Kind: EvFeedback, Session: id, Node: node, Feedback: FeedbackRung, Value: 2})
 	}
-	b.now += 1000
-	b.step(Event{Kind: EvFeedback, Session: 500, Node: id, Feedback: FeedbackLinkLoad, Value: 2})
-	seen := map[SessionID]int{}
-	for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
-		if a.Kind == ActSetRung {
-			seen[a.Session]++
+	front.now += 1000
+	front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, Value: 2})
+	changes := map[SessionID]int{}
+	for _, action := range front.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
+		if action.Kind == ActSetRung {
+			changes[action.Session]++
 		}
 	}
-	if len(seen) == 0 {
-		t.Fatal("no relief at twice the link")
+	if len(changes) == 0 {
+		t.Fatal("no relief at a link load of 2")
 	}
-	for s, n := range seen {
-		if n > 1 {
-			t.Errorf("session %d changed %d times in one go", s, n)
+	for id, count := range changes {
+		if count > 1 {
+			t.Errorf("session %d was changed %d times in one step", id, count)
 		}
 	}
-	for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
-		if a.Kind == ActSetRung {
+	for _, action := range front.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
+		if action.Kind == ActSetRung {
 			t.Fatal("a second relief before a later measurement")
 		}
 	}
 }
 
 func TestRaisesToTheHighestRungInOneChange(t *testing.T) {
-	b := startFront(t, testConfig())
-	id := testNodes(1)[0].ID
-	b.step(Event{Kind: EvExistingSession, Session: 500, Node: id, Title: 1, Copies: 3, MaxRung: 2})
-	b.now += 6000
-	b.step(Event{Kind: EvFeedback, Session: 500, Node: id, Feedback: FeedbackLinkLoad, Value: 0.05},
-		Event{Kind: EvFeedback, Session: 500, Node: id, Feedback: FeedbackUplinkLoad, Value: 0.05})
+	front := startFront(t, testConfig())
+	node := testNodes(1)[0].ID
+	front.step(Event{Kind: EvExistingSession, Session: 500, Node: node, Title: 1, Copies: 3, MaxRung: 2})
+	front.now += 6000
+	front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, Value: 0.05},
+		Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackUplinkLoad, Value: 0.05})
 	for range 8 {
-		b.now += 250
-		for _, a := range b.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
-			if a.Kind == ActSetRung && a.Session == 500 && a.Rung == 2 {
+		front.now += 250
+		for _, action := range front.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
+			if action.Kind == ActSetRung && action.Session == 500 && action.Rung == 2 {
 				return
 			}
 		}
 	}
-	t.Fatal("a session on an empty link was not raised to its top in one change")
+	t.Fatal("a session on an empty link was not raised to its highest rung in one change")
 }
 
-// TestRulesOnRandomEvents feeds long random but legal event sequences and checks every action.
+// TestRulesOnRandomEvents feeds long random but legal event sequences and checks every action. The same
+// events must give the same actions again.
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := range uint64(6) {
 		first := runRandomEvents(t, seed, true)
@@ -466,6 +477,7 @@
 	}
 }
 
+// liveSession is what runRandomEvents knows of a request without a final answer.
 type liveSession struct {
 	class, title                     int
 	deadline                         float64
@@ -474,363 +486,380 @@
 	attempts, maxRung                int
 }
 
+// runRandomEvents returns the actions of one random run. With check it fails the test on any action that
+// breaks a rule.
 func runRandomEvents(t *testing.T, seed uint64, check bool) []Action {
 	cfg := testConfig()
 	cfg.RetryBudget, cfg.RetryBudgetMin, cfg.RetryBudgetRatio, cfg.RetryBudgetWindowMs = true, 3, 0.3, 5000
-	b := startFront(t, cfg)
-	r := rand.New(rand.NewPCG(seed, 9))
+	front := startFront(t, cfg)
+	random := rand.New(rand.NewPCG(seed, 9))
 	live := map[SessionID]*liveSession{}
 	var order []SessionID
-	off := map[NodeID]bool{}
-	var all []Action
-	var asked, extras []float64
+	unavailable := map[NodeID]bool{}
+	var allActions []Action
+	var requestTimes, furtherAttemptTimes []float64
 	fail := func(format string, args ...any) {
 		if check {
 			t.Helper()
 			t.Fatalf(format, args...)
 		}
 	}
-	recent := func(l []float64) (n float64) {
-		for _, at := range l {
-			if at > b.now-cfg.RetryBudgetWindowMs {
-				n++
+	countInWindow := func(times []float64) (count float64) {
+		for _, at := range times {
+			if at > front.now-cfg.RetryBudgetWindowMs {
+				count++
 			}
 		}
-		return n
+		return count
 	}
 	for range 6000 {
-		b.now += float64(r.IntN(60))
-		var ev Event
-		switch k := r.IntN(10); {
-		case k < 3:
-			s := &liveSession{class: r.IntN(3), title: r.IntN(5), deadline: b.now + 1000, maxRung: r.IntN(3)}
-			live[b.nextSession] = s
-			order = append(order, b.nextSession)
-			asked = append(asked, b.now)
-			ev = Event{Kind: EvRequest, Session: b.nextSession, Class: s.class, Title: uint64(s.title),
-				TimeLeftMs: 1000, FirstCell: s.title, Copies: 3, MaxRung: s.maxRung}
-			b.nextSession++
-		case k < 4:
-			l := testNodes(6)
-			i := r.IntN(6)
-			l[i].Health = []Health{Ready, Ready, Draining, Gone}[r.IntN(4)]
-			if r.IntN(3) == 0 {
-				l[i].StartedAtMs = b.now - 100
+		front.now += float64(random.IntN(60))
+		var event Event
+		switch choice := random.IntN(10); {
+		case choice < 3:
+			session := &liveSession{class: random.IntN(3), title: random.IntN(5), deadline: front.now + 1000,
+				maxRung: random.IntN(3)}
+			live[front.nextSession] = session
+			order = append(order, front.nextSession)
+			requestTimes = append(requestTimes, front.now)
+			event = Event{Kind: EvRequest, Session: front.nextSession, Class: session.class, Title: uint64(session.title),
+				TimeLeftMs: 1000, FirstCell: session.title, Copies: 3, MaxRung: session.maxRung}
+			front.nextSession++
+		case choice < 4:
+			nodes := testNodes(6)
+			i := random.IntN(6)
+			nodes[i].Health = []Health{Ready, Ready, Draining, Gone}[random.IntN(4)]
+			if random.IntN(3) == 0 {
+				nodes[i].StartedAtMs = front.now - 100
 			}
-			off[l[i].ID] = l[i].Health != Ready
-			ev = Event{Kind: EvNodes, Delta: true, Nodes: l[i : i+1]}
-		case k < 5:
-			ev = Event{Kind: EvFeedback, Node: testNodes(6)[r.IntN(6)].ID, Feedback: FeedbackKind(1 + r.IntN(4)), Value: r.Float64() * 1.5}
-		case k < 6:
-			ev = Event{Kind: EvTimer, Timer: tickTimerID}
+			unavailable[nodes[i].ID] = nodes[i].Health != Ready
+			event = Event{Kind: EvNodes, Delta: true, Nodes: nodes[i : i+1]}
+		case choice < 5:
+			event = Event{Kind: EvFeedback, Node: testNodes(6)[random.IntN(6)].ID,
+				Feedback: FeedbackKind(1 + random.IntN(4)), Value: random.Float64() * 1.5}
+		case choice < 6:
+			event = Event{Kind: EvTimer, Timer: tickTimerID}
 		default:
 			if len(order) == 0 {
 				continue
 			}
-			id := order[r.IntN(len(order))]
-			s := live[id]
-			if s == nil || !s.attemptOpen {
+			id := order[random.IntN(len(order))]
+			session := live[id]
+			if session == nil || !session.attemptOpen {
 				continue
 			}
-			late := b.now >= s.deadline && !s.playing
-			if !s.playing && !late && r.IntN(2) == 0 {
-				s.playing = true
-				ev = Event{Kind: EvAttemptPlaying, Session: id, Node: s.node}
+			late := front.now >= session.deadline && !session.playing
+			if !session.playing && !late && random.IntN(2) == 0 {
+				session.playing = true
+				event = Event{Kind: EvAttemptPlaying, Session: id, Node: session.node}
 				break
 			}
-			o := []Outcome{Failed, Full, TimedOut, ConnectFailed, Reset}[r.IntN(5)]
+			outcome := []Outcome{Failed, Full, TimedOut, ConnectFailed, Reset}[random.IntN(5)]
 			if late {
-				o = TimedOut
+				outcome = TimedOut
 			}
-			if s.playing {
-				o = []Outcome{Served, Reset, Cancelled}[r.IntN(3)]
+			if session.playing {
+				outcome = []Outcome{Served, Reset, Cancelled}[random.IntN(3)]
 			}
-			s.attemptOpen = false
-			s.mayHaveRun = s.mayHaveRun || o != Full && o != ConnectFailed
-			ev = Event{Kind: EvAttemptEnded, Session: id, Node: s.node, Outcome: o, SessionOver: s.playing}
-			if s.playing {
+			session.attemptOpen = false
+			session.mayHaveRun = session.mayHaveRun || outcome != Full && outcome != ConnectFailed
+			event = Event{Kind: EvAttemptEnded, Session: id, Node: session.node, Outcome: outcome,
+				SessionOver: session.playing}
+			if session.playing {
 				delete(live, id)
 			}
 		}
-		acts := b.step(ev)
-		all = append(all, acts...)
-		for _, a := range acts {
-			s := live[a.Session]
-			switch a.Kind {
+		actions := front.step(event)
+		allActions = append(allActions, actions...)
+		for _, action := range actions {
+			session := live[action.Session]
+			switch action.Kind {
 			case ActSetup:
-				if s == nil || s.attemptOpen || b.now >= s.deadline {
-					fail("seed %d: set-up of %d, which is answered, out or late", seed, a.Session)
+				if session == nil || session.attemptOpen || front.now >= session.deadline {
+					fail("seed %d: set-up of session %d, which is answered, being attempted or late", seed,
+						action.Session)
 				}
-				if s.mayHaveRun && cfg.Classes[s.class].Semantics == AtMostOnce || s.mayHaveRun && s.class == 2 {
+				if session.mayHaveRun && cfg.Classes[session.class].Semantics == AtMostOnce ||
+					session.mayHaveRun && session.class == 2 {
 					fail("seed %d: a set-up that may have run was sent again", seed)
 				}
-				if off[a.Node] {
-					fail("seed %d: set-up to a server told off", seed)
+				if unavailable[action.Node] {
+					fail("seed %d: set-up on a draining or removed node", seed)
 				}
-				if s.attempts++; s.attempts > cfg.MaxAttempts {
-					fail("seed %d: attempt %d", seed, s.attempts)
+				if session.attempts++; session.attempts > cfg.MaxAttempts {
+					fail("seed %d: attempt %d", seed, session.attempts)
 				}
-				if s.attempts > 1 {
-					extras = append(extras, b.now)
-					if recent(extras) > cfg.RetryBudgetMin+cfg.RetryBudgetRatio*recent(asked) {
-						fail("seed %d: retry budget broken", seed)
+				if session.attempts > 1 {
+					furtherAttemptTimes = append(furtherAttemptTimes, front.now)
+					if countInWindow(furtherAttemptTimes) >
+						cfg.RetryBudgetMin+cfg.RetryBudgetRatio*countInWindow(requestTimes) {
+						fail("seed %d: the retry budget was exceeded", seed)
 					}
 				}
 				cell := -1
-				for _, f := range testNodes(6) {
-					if f.ID == a.Node {
-						cell = f.Cell
+				for _, node := range testNodes(6) {
+					if node.ID == action.Node {
+						cell = node.Cell
 					}
 				}
-				if (cell-s.title+6)%6 > 2 {
-					fail("seed %d: cell %d does not hold title %d", seed, cell, s.title)
+				if (cell-session.title+6)%6 > 2 {
+					fail("seed %d: cell %d does not hold title %d", seed, cell, session.title)
 				}
-				s.attemptOpen, s.node = true, a.Node
-				n := 0
-				for _, o := range live {
-					if o.attemptOpen && o.class == 1 && s.class == 1 && o.title == s.title {
-						n++
+				session.attemptOpen, session.node = true, action.Node
+				count := 0
+				for _, other := range live {
+					if other.attemptOpen && other.class == 1 && session.class == 1 && other.title == session.title {
+						count++
 					}
 				}
-				if n > 2 {
-					fail("seed %d: %d sessions on 2 seats", seed, n)
+				if count > 2 {
+					fail("seed %d: %d sessions of a title with a cap of 2", seed, count)
 				}
 			case ActSetRung:
-				if s == nil || a.Rung > s.maxRung || a.Rung < cfg.Classes[s.class].MinRung {
-					fail("seed %d: rung %d for session %+v", seed, a.Rung, s)
+				if session == nil || action.Rung > session.maxRung || action.Rung < cfg.Classes[session.class].MinRung {
+					fail("seed %d: rung %d for session %+v", seed, action.Rung, session)
 				}
 			case ActRefuse, ActFail:
-				if s == nil || s.attemptOpen {
-					fail("seed %d: second answer for %d", seed, a.Session)
+				if session == nil || session.attemptOpen {
+					fail("seed %d: final answer for session %d, which is answered or being attempted", seed,
+						action.Session)
 				}
-				if a.Kind == ActRefuse && s.mayHaveRun && s.class != 0 {
+				if action.Kind == ActRefuse && session.mayHaveRun && session.class != 0 {
 					fail("seed %d: refused a set-up that may have run", seed)
 				}
-				delete(live, a.Session)
+				delete(live, action.Session)
 			}
 		}
-		for id, s := range live {
-			if !s.attemptOpen {
-				fail("seed %d: request %d is held without an attempt", seed, id)
+		for id, session := range live {
+			if !session.attemptOpen {
+				fail("seed %d: request %d has neither an attempt nor an answer", seed, id)
 			}
 		}
 	}
-	return all
+	return allActions
 }
 
-// One noisy report must not turn the estimate around.
+// One noisy load report must not replace the estimate.
 func TestLoadReportIsWeighted(t *testing.T) {
-	b := startFront(t, testConfig())
-	id := testNodes(1)[0].ID
-	b.reportLinkLoads(0.4)
-	b.now += 1000
-	b.step(Event{Kind: EvAttemptEnded, Session: 77, Node: id, Outcome: Served, SessionOver: true,
+	front := startFront(t, testConfig())
+	node := testNodes(1)[0].ID
+	front.reportLinkLoads(0.4)
+	front.now += 1000
+	front.step(Event{Kind: EvAttemptEnded, Session: 77, Node: node, Outcome: Served, SessionOver: true,
 		Report: Report{Present: true, Streams: -1, Link: 1.2, Uplink: -1}})
-	if got := b.controller.linkLoad(b.controller.nodesByID[id]); got < 0.6 || got > 1.0 {
-		t.Fatalf("told 0.4 by note and 1.2 by report: estimate %.2f", got)
+	if got := front.controller.linkLoad(front.controller.nodesByID[node]); got < 0.6 || got > 1.0 {
+		t.Fatalf("feedback 0.4 and load report 1.2: estimate %.2f", got)
 	}
 }
 
-// Two servers short alike behind an uplink that nobody tells point to the uplink, not to their links.
+// Two nodes with equal shortfalls behind an uplink without measurements point to the uplink, not to their links.
 func TestUplinkCapacityIsInferredFromRateShares(t *testing.T) {
-	b := startFront(t, testConfig())
-	b.reportLinkLoads(0.5)
-	b.now += 600
+	front := startFront(t, testConfig())
+	front.reportLinkLoads(0.5)
+	front.now += 600
 	for range 2 {
-		for _, i := range []int{0, 2, 4} { // the servers of one rack
-			b.step(Event{Kind: EvFeedback, Node: testNodes(6)[i].ID, Feedback: FeedbackRateShare, Value: 0.7})
+		for _, i := range []int{0, 2, 4} { // the nodes of one rack
+			front.step(Event{Kind: EvFeedback, Node: testNodes(6)[i].ID, Feedback: FeedbackRateShare, Value: 0.7})
 		}
 	}
-	r := b.controller.nodesByID[testNodes(1)[0].ID].rack
-	if load := b.controller.uplinkLoad(r); load < 1.3 || r.uplink.capacityKB > 0.6*3000 {
-		t.Fatalf("uplink load %.2f and %.0f kB/s; shares of 0.7 at links of 0.5", load, r.uplink.capacityKB)
+	rack := front.controller.nodesByID[testNodes(1)[0].ID].rack
+	if load := front.controller.uplinkLoad(rack); load < 1.3 || rack.uplink.capacityKB > 0.6*3000 {
+		t.Fatalf("uplink load %.2f and %.0f kB/s; shares of 0.7 at link loads of 0.5", load, rack.uplink.capacityKB)
 	}
-	if l := b.controller.linkLoad(b.controller.nodesByID[testNodes(6)[4].ID]); l > 1 {
-		t.Fatalf("the link is booked with %.2f for a shortage of the uplink", l)
+	if load := front.controller.linkLoad(front.controller.nodesByID[testNodes(6)[4].ID]); load > 1 {
+		t.Fatalf("link load %.2f for a shortage of the uplink", load)
 	}
 }
 
-// Without told places or weights all links are taken to be alike.
+// Without stream limits or weights all links are taken to be equal.
 func TestLinksAreEqualWithoutStreamLimitsOrWeights(t *testing.T) {
 	cfg := testConfig()
 	cfg.StreamsByKind, cfg.WeightsKnown = nil, false
-	b := startFront(t, cfg)
-	for _, s := range b.controller.nodes {
-		if s.link.capacityKB != 1000 {
-			t.Fatalf("a link of %v kB/s; 6000 for six", s.link.capacityKB)
+	front := startFront(t, cfg)
+	for _, node := range front.controller.nodes {
+		if node.link.capacityKB != 1000 {
+			t.Fatalf("a link of %v kB/s, want 6000 shared by six nodes", node.link.capacityKB)
 		}
 	}
 }
 
-// A request that must leave places free is not set up on the last ones; one that need not is.
+// A request with headroom is not set up on the last free streams; one without is.
 func TestHeadroomIsLeftFree(t *testing.T) {
 	cfg := testConfig()
 	cfg.StreamsByKind, cfg.Cells = []int{4}, 6
-	b := startFront(t, cfg)
-	b.reportLinkLoads(0)
-	for id := SessionID(1); id <= 3; id++ { // three of four places of the only holder
-		acts := b.step(Event{Kind: EvRequest, Session: id, Title: 42, TimeLeftMs: 3000, Copies: 1, MaxRung: 0})
-		to, _, _ := findSetup(acts)
-		b.startPlaying(id, to)
+	front := startFront(t, cfg)
+	front.reportLinkLoads(0)
+	for id := SessionID(1); id <= 3; id++ { // three of four streams of the only holder
+		actions := front.step(Event{Kind: EvRequest, Session: id, Title: 42, TimeLeftMs: 3000, Copies: 1, MaxRung: 0})
+		node, _, _ := findSetup(actions)
+		front.startPlaying(id, node)
 	}
-	if _, _, ok := findSetup(b.step(Event{Kind: EvRequest, Session: 8, Title: 42, TimeLeftMs: 3000, Copies: 1, Headroom: 0.25})); ok {
-		t.Error("the last place went to a request that must leave a quarter free")
+	if _, _, ok := findSetup(front.step(Event{Kind: EvRequest, Session: 8, Title: 42, TimeLeftMs: 3000, Copies: 1,
+		Headroom: 0.25})); ok {
+		t.Error("the last stream went to a request that must leave a quarter free")
 	}
-	if _, _, ok := findSetup(b.step(Event{Kind: EvRequest, Session: 9, Title: 42, TimeLeftMs: 3000, Copies: 1})); !ok {
-		t.Error("the last place is not given at all")
+	if _, _, ok := findSetup(front.step(Event{Kind: EvRequest, Session: 9, Title: 42, TimeLeftMs: 3000,
+		Copies: 1})); !ok {
+		t.Error("the last stream was not given to a request without headroom")
 	}
 }
 
-// A request that no server can use errs at each of them; the servers must stay in use for others.
+// A malformed request fails on every node; the nodes must stay in use for other requests.
 func TestBadRequestEjectsNoNode(t *testing.T) {
-	b := startFront(t, testConfig())
-	b.reportLinkLoads(0.1)
+	front := startFront(t, testConfig())
+	front.reportLinkLoads(0.1)
 	for title := uint64(1); title <= 3; title++ { // a bad request and a good one in turn
-		id, acts := b.request(0, title)
-		for to, _, ok := findSetup(acts); ok; to, _, ok = findSetup(acts) {
-			acts = b.endAttempt(id, to, Failed)
+		id, actions := front.request(0, title)
+		for node, _, ok := findSetup(actions); ok; node, _, ok = findSetup(actions) {
+			actions = front.endAttempt(id, node, Failed)
 		}
-		if !hasAction(acts, ActRefuse) {
-			t.Fatalf("title %d: a repeatable request that errs everywhere gets %v, want a refusal at once", title, acts)
+		if !hasAction(actions, ActRefuse) {
+			t.Fatalf("title %d: a repeatable request that fails everywhere gets %v, want an immediate refusal",
+				title, actions)
 		}
-		id, acts = b.request(1, 100+title)
-		to, _, ok := findSetup(acts)
+		id, actions = front.request(1, 100+title)
+		node, _, ok := findSetup(actions)
 		if !ok {
-			t.Fatalf("after %d bad requests a paid one finds no server: %v", title, acts)
+			t.Fatalf("after %d bad requests an AtMostOnce request finds no node: %v", title, actions)
 		}
-		b.startPlaying(id, to)
+		front.startPlaying(id, node)
 	}
-	for _, v := range b.controller.nodes {
-		if v.consecutiveFailures > 0 || v.ejectedUntil > b.now {
-			t.Fatalf("server %d is shut after errors of bad requests: fails %d", v.ID, v.consecutiveFailures)
+	for _, node := range front.controller.nodes {
+		if node.consecutiveFailures > 0 || node.ejectedUntil > front.now {
+			t.Fatalf("node %d is ejected after errors of bad requests: %d failures", node.ID, node.consecutiveFailures)
 		}
 	}
 }
 
-// Two bad requests that err at one server before either has erred at another shut nothing; two good ones that play
-// elsewhere shut it.
+// Two bad requests that fail on one node, before either has failed on another one, eject nothing. Two good
+// requests that then play elsewhere eject it.
 func TestInterleavedErrorsAreAttributedByTheNextAttempt(t *testing.T) {
-	for name, bad := range map[string]bool{"bad requests": true, "a bad server": false} {
-		b := startFront(t, testConfig())
-		b.reportLinkLoads(0.1)
-		one, acts := b.request(0, 42)
-		v, _, _ := findSetup(acts)
-		two, acts := b.request(0, 42)
-		if at, _, _ := findSetup(acts); at != v {
-			t.Fatalf("%s: sent to %d and %d", name, v, at)
+	for name, bad := range map[string]bool{"bad requests": true, "a bad node": false} {
+		front := startFront(t, testConfig())
+		front.reportLinkLoads(0.1)
+		one, actions := front.request(0, 42)
+		first, _, _ := findSetup(actions)
+		two, actions := front.request(0, 42)
+		if second, _, _ := findSetup(actions); second != first {
+			t.Fatalf("%s: set up on nodes %d and %d", name, first, second)
 		}
 		next := map[SessionID][]Action{}
 		for _, id := range []SessionID{one, two} {
-			next[id] = b.endAttempt(id, v, Failed)
+			next[id] = front.endAttempt(id, first, Failed)
 		}
-		for id, acts := range next {
-			to, _, ok := findSetup(acts)
-			if !ok || to == v {
-				t.Fatalf("%s: no second attempt elsewhere: %v", name, acts)
+		for id, actions := range next {
+			node, _, ok := findSetup(actions)
+			if !ok || node == first {
+				t.Fatalf("%s: no second attempt elsewhere: %v", name, actions)
 			}
 			if bad {
-				b.endAttempt(id, to, Failed)
+				front.endAttempt(id, node, Failed)
 			} else {
-				b.startPlaying(id, to)
+				front.startPlaying(id, node)
 			}
 		}
-		if s := b.controller.nodesByID[v]; (s.ejectedUntil > b.now) == bad {
-			t.Errorf("%s: shut until %v at %v", name, s.ejectedUntil, b.now)
+		if node := front.controller.nodesByID[first]; (node.ejectedUntil > front.now) == bad {
+			t.Errorf("%s: ejected until %v at %v", name, node.ejectedUntil, front.now)
 		}
 	}
 }
 
-// A set-up whose connection broke neither shuts its server nor makes it cold; two in a row shut it, and a session that
-// breaks while it plays means that the server was lost.
+// One set-up whose connection was reset neither ejects its node nor makes it cold; two in a row eject it. A
+// session that is reset while it plays means that the node is down.
 func TestOneResetNeitherEjectsNorRestartsWarmUp(t *testing.T) {
-	b := startFront(t, testConfig())
-	b.reportLinkLoads(0.1)
-	broken := func() *nodeState {
-		id, acts := b.request(1, 42)
-		to, _, ok := findSetup(acts)
+	front := startFront(t, testConfig())
+	front.reportLinkLoads(0.1)
+	resetSetup := func() *nodeState {
+		id, actions := front.request(1, 42)
+		node, _, ok := findSetup(actions)
 		if !ok {
-			t.Fatalf("not set up: %v", acts)
+			t.Fatalf("not set up: %v", actions)
 		}
-		if acts = b.endAttempt(id, to, Reset); !hasAction(acts, ActFail) {
-			t.Fatalf("a paid set-up that broke gets %v, want a failure", acts)
+		if actions = front.endAttempt(id, node, Reset); !hasAction(actions, ActFail) {
+			t.Fatalf("an AtMostOnce set-up that was reset gets %v, want a failure", actions)
 		}
-		return b.controller.nodesByID[to]
+		return front.controller.nodesByID[node]
 	}
-	v := broken()
-	if v.consecutiveFailures != 0 || v.presumedDown || v.ejectedUntil > b.now {
-		t.Fatalf("after one break: fails %d, lost %v, shut until %v at %v", v.consecutiveFailures, v.presumedDown, v.ejectedUntil, b.now)
+	state := resetSetup()
+	if state.consecutiveFailures != 0 || state.presumedDown || state.ejectedUntil > front.now {
+		t.Fatalf("after one reset: %d failures, presumed down %v, ejected until %v at %v",
+			state.consecutiveFailures, state.presumedDown, state.ejectedUntil, front.now)
 	}
-	id, acts := b.request(0, 42)
-	to, _, _ := findSetup(acts)
-	if b.startPlaying(id, to); to != v.ID || b.controller.warmingUp(v) {
-		t.Fatalf("the next goes to %d, want %d; cold %v", to, v.ID, b.controller.warmingUp(v))
+	id, actions := front.request(0, 42)
+	node, _, _ := findSetup(actions)
+	if front.startPlaying(id, node); node != state.ID || front.controller.warmingUp(state) {
+		t.Fatalf("the next set-up is on node %d, want %d; warming up %v", node, state.ID,
+			front.controller.warmingUp(state))
 	}
-	broken()
-	if broken(); v.consecutiveFailures != 1 || v.ejectedUntil <= b.now {
-		t.Fatalf("after two breaks in a row: fails %d, shut until %v at %v", v.consecutiveFailures, v.ejectedUntil, b.now)
+	resetSetup()
+	if resetSetup(); state.consecutiveFailures != 1 || state.ejectedUntil <= front.now {
+		t.Fatalf("after two resets in a row: %d failures, ejected until %v at %v", state.consecutiveFailures,
+			state.ejectedUntil, front.now)
 	}
-	b.step(Event{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: Reset, SessionOver: true})
-	if !v.presumedDown {
-		t.Fatal("a session that broke while it played does not mark its server as lost")
+	front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: Reset, SessionOver: true})
+	if !state.presumedDown {
+		t.Fatal("a session that was reset while it played does not mark its node as down")
 	}
 }
 
-// Servers are replaced under new names all the time; those that have gone are forgotten, after a while, and not before
-// their sessions have ended.
+// Nodes are replaced under new IDs all the time. Removed ones are forgotten after a while, but not before their
+// sessions have ended.
 func TestRemovedNodesAreForgotten(t *testing.T) {
-	for _, whole := range []bool{true, false} {
-		b := startFront(t, testConfig())
-		b.reportLinkLoads(0.1)
-		id, acts := b.request(0, 42)
-		to, _, _ := findSetup(acts)
-		b.startPlaying(id, to)
-		list := func(l ...Node) { b.step(Event{Kind: EvNodes, Nodes: l, Delta: !whole}) }
-		next := Node{ID: 9000, Weight: 1}
-		all := testNodes(6)
-		for i := range all {
-			all[i].Health = Gone
+	for _, fullList := range []bool{true, false} {
+		front := startFront(t, testConfig())
+		front.reportLinkLoads(0.1)
+		id, actions := front.request(0, 42)
+		playingNode, _, _ := findSetup(actions)
+		front.startPlaying(id, playingNode)
+		list := func(nodes ...Node) { front.step(Event{Kind: EvNodes, Nodes: nodes, Delta: !fullList}) }
+		newNode := Node{ID: 9000, Weight: 1}
+		removed := testNodes(6)
+		for i := range removed {
+			removed[i].Health = Gone
 		}
-		if whole { // absent is gone
-			all = nil
+		if fullList { // absent nodes are removed
+			removed = nil
 		}
-		list(append(all, next)...)
-		if len(b.controller.nodes) != 7 {
-			t.Fatalf("whole %v: %d servers are known, want 7 for a while", whole, len(b.controller.nodes))
+		list(append(removed, newNode)...)
+		if len(front.controller.nodes) != 7 {
+			t.Fatalf("full list %v: %d nodes are known, want 7 for a while", fullList, len(front.controller.nodes))
 		}
-		b.now += removedNodeRetentionMs + 1
-		list(next)
-		if len(b.controller.nodes) != 2 || len(b.controller.nodesByID) != 2 || b.controller.nodesByID[to] == nil {
-			t.Fatalf("whole %v: %d servers are known, want the new one and that with a session", whole, len(b.controller.nodes))
+		front.now += removedNodeRetentionMs + 1
+		list(newNode)
+		if len(front.controller.nodes) != 2 || len(front.controller.nodesByID) != 2 ||
+			front.controller.nodesByID[playingNode] == nil {
+			t.Fatalf("full list %v: %d nodes are known, want the new one and the one with a session", fullList,
+				len(front.controller.nodes))
 		}
-		b.step(Event{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: Reset, SessionOver: true})
-		list(next)
-		if len(b.controller.nodes) != 1 || len(b.controller.nodesByID) != 1 {
-			t.Fatalf("whole %v: %d servers are known, want 1", whole, len(b.controller.nodes))
+		front.step(Event{Kind: EvAttemptEnded, Session: id, Node: playingNode, Outcome: Reset, SessionOver: true})
+		list(newNode)
+		if len(front.controller.nodes) != 1 || len(front.controller.nodesByID) != 1 {
+			t.Fatalf("full list %v: %d nodes are known, want 1", fullList, len(front.controller.nodes))
 		}
-		list(next, testNodes(6)[0]) // back
-		if v := b.controller.nodesByID[testNodes(6)[0].ID]; v == nil || v.unavailable {
-			t.Fatalf("whole %v: a server that is back can't be used", whole)
+		list(newNode, testNodes(6)[0]) // listed again
+		if node := front.controller.nodesByID[testNodes(6)[0].ID]; node == nil || node.unavailable {
+			t.Fatalf("full list %v: a node that is listed again can't be used", fullList)
 		}
 	}
 }
 
-// A flood of titles must not fill the table of tokens.
+// Requests for any number of titles must not fill the table of placement tokens.
 func TestPlacementTokensAreBounded(t *testing.T) {
-	b := startFront(t, testConfig())
-	b.reportLinkLoads(0.1)
-	for title := uint64(1); len(b.controller.placementTokens) < maxPlacementTokens-1; title++ {
-		b.controller.placementTokens[title] = b.controller.nodes[0]
+	front := startFront(t, testConfig())
+	front.reportLinkLoads(0.1)
+	for title := uint64(1); len(front.controller.placementTokens) < maxPlacementTokens-1; title++ {
+		front.controller.placementTokens[title] = front.controller.nodes[0]
 	}
 	for title := uint64(1 << 40); title < 1<<40+20; title++ {
-		id, acts := b.request(0, title)
-		to, _, ok := findSetup(acts)
+		id, actions := front.request(0, title)
+		node, _, ok := findSetup(actions)
 		if !ok {
-			t.Fatalf("not set up: %v", acts)
+			t.Fatalf("not set up: %v", actions)
 		}
-		b.startPlaying(id, to)
-		b.step(Event{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: Served, SessionOver: true})
+		front.startPlaying(id, node)
+		front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: Served, SessionOver: true})
 	}
-	if n := len(b.controller.placementTokens); n == 0 || n > maxPlacementTokens {
-		t.Fatalf("%d tokens are kept, at most %d are allowed", n, maxPlacementTokens)
+	if count := len(front.controller.placementTokens); count == 0 || count > maxPlacementTokens {
+		t.Fatalf("%d tokens are kept, at most %d are allowed", count, maxPlacementTokens)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -6,7 +6,7 @@
 	"headmill"
 )
 
-// A front is a loop: hand over what happened, carry out what comes back.
+// The caller of a front passes events to Step and carries out the returned actions.
 func Example() {
 	front, err := headmill.New(headmill.Config{
 		Fronts: 1, Cells: 3, Racks: 1, MaxAttempts: 2,
@@ -22,15 +22,15 @@
 		{Kind: headmill.EvNodes, Nodes: []headmill.Node{{ID: 1, Cell: 0, Weight: 1}}},
 		{Kind: headmill.EvRequest, Session: 7, Title: 99, TimeLeftMs: 3000, Copies: 3, MaxRung: 1},
 	}
-	for _, a := range front.Step(1000, events, nil) {
-		switch a.Kind {
+	for _, action := range front.Step(1000, events, nil) {
+		switch action.Kind {
 		case headmill.ActSetRung:
-			fmt.Println("session", a.Session, "at rung", a.Rung)
+			fmt.Println("session", action.Session, "at rung", action.Rung)
 		case headmill.ActSetup:
-			fmt.Println("session", a.Session, "to server", a.Node)
+			fmt.Println("session", action.Session, "to node", action.Node)
 		}
 	}
 	// Output:
 	// session 7 at rung 1
-	// session 7 to server 1
+	// session 7 to node 1
 }
--- a/size_test.go
+++ b/size_test.go
@@ -7,132 +7,138 @@
 	"testing"
 )
 
-// Tests of what many fronts do together, each knowing little.
+// Tests of what many fronts do together, where each one knows only its own sessions and some measurements.
 
-func largeFleet(n int) []Node {
-	var l []Node
-	for i := range n {
-		l = append(l, Node{ID: NodeID(1001 + 13*i), Cell: i, Weight: 1, Zone: i % 3})
+// largeNodes returns nodes for largeConfig, one in each cell.
+func largeNodes(count int) []Node {
+	var nodes []Node
+	for i := range count {
+		nodes = append(nodes, Node{ID: NodeID(1001 + 13*i), Cell: i, Weight: 1, Zone: i % 3})
 	}
-	return l
+	return nodes
 }
 
-func largeConfig(fronts, servers int) Config {
+// largeConfig is testConfig with racks of five nodes.
+func largeConfig(fronts, nodes int) Config {
 	cfg := testConfig()
-	cfg.Fronts, cfg.Cells, cfg.Racks = fronts, servers, servers/5
-	cfg.TotalLinkKB, cfg.UplinkKB = float64(servers)*1000, 5000
+	cfg.Fronts, cfg.Cells, cfg.Racks = fronts, nodes, nodes/5
+	cfg.TotalLinkKB, cfg.UplinkKB = float64(nodes)*1000, 5000
 	return cfg
 }
 
-func newFront(t testing.TB, cfg Config, seed uint64, servers []Node) *Controller {
+func newFront(t testing.TB, cfg Config, seed uint64, nodes []Node) *Controller {
 	t.Helper()
-	c, err := New(cfg, seed)
+	front, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Step(1e6, []Event{{Kind: EvNodes, Nodes: servers}}, nil)
-	return c
+	front.Step(1e6, []Event{{Kind: EvNodes, Nodes: nodes}}, nil)
+	return front
 }
 
-// The wanted rung must not fall only because there are more fronts.
+// The rung that the price allows must not be lower only because there are more fronts.
 func TestShadowPriceIsIndependentOfTheNumberOfFronts(t *testing.T) {
 	rungs := map[int]int{}
 	for _, fronts := range []int{3, 300} {
-		c := newFront(t, largeConfig(fronts, 30), 1, largeFleet(30))
-		for _, s := range largeFleet(3) {
-			c.Step(1e6, []Event{{Kind: EvFeedback, Node: s.ID, Feedback: FeedbackLinkLoad, Value: 0.1}}, nil)
+		front := newFront(t, largeConfig(fronts, 30), 1, largeNodes(30))
+		for _, node := range largeNodes(3) {
+			front.Step(1e6, []Event{{Kind: EvFeedback, Node: node.ID, Feedback: FeedbackLinkLoad, Value: 0.1}}, nil)
 		}
-		_, rungs[fronts], _ = findSetup(c.Step(1e6, []Event{{Kind: EvRequest, Session: 1, Title: 5,
+		_, rungs[fronts], _ = findSetup(front.Step(1e6, []Event{{Kind: EvRequest, Session: 1, Title: 5,
 			TimeLeftMs: 3000, Copies: 3, MaxRung: 2}}, nil))
 	}
 	if rungs[3] != rungs[300] || rungs[300] != 2 {
-		t.Fatalf("rung %d with 3 fronts, %d with 300, want the top at both on an empty fleet", rungs[3], rungs[300])
+		t.Fatalf("rung %d with 3 fronts, %d with 300, want the highest with both on an empty fleet", rungs[3], rungs[300])
 	}
 }
 
-// A title's token starts in the front's own zone, at the same holder for all fronts of the zone.
+// A title's token starts in the front's own zone, on the same holder for all fronts of the zone.
 func TestTokensStartInTheFrontsOwnZone(t *testing.T) {
 	for zone := range 3 {
-		homes := map[uint64]NodeID{}
-		for me := range 2 {
+		initialNodes := map[uint64]NodeID{}
+		for self := range 2 {
 			cfg := largeConfig(300, 30)
-			cfg.Self, cfg.Zone = me, zone
-			c := newFront(t, cfg, uint64(me), largeFleet(30))
+			cfg.Self, cfg.Zone = self, zone
+			front := newFront(t, cfg, uint64(self), largeNodes(30))
 			for title := uint64(1); title < 20; title++ {
-				to, _, _ := findSetup(c.Step(1e6, []Event{{Kind: EvRequest, Session: SessionID(title), Title: title,
+				node, _, _ := findSetup(front.Step(1e6, []Event{{Kind: EvRequest, Session: SessionID(title), Title: title,
 					TimeLeftMs: 3000, FirstCell: int(title), Copies: 6, MaxRung: 0}}, nil))
-				if z := c.nodesByID[to].Zone; z != zone {
-					t.Fatalf("front of zone %d starts title %d in zone %d", zone, title, z)
+				if got := front.nodesByID[node].Zone; got != zone {
+					t.Fatalf("a front of zone %d starts title %d in zone %d", zone, title, got)
 				}
-				if me > 0 && homes[title] != to {
-					t.Fatalf("title %d starts at %d and %d in one zone", title, homes[title], to)
+				if self > 0 && initialNodes[title] != node {
+					t.Fatalf("title %d starts on nodes %d and %d in one zone", title, initialNodes[title], node)
 				}
-				homes[title] = to
+				initialNodes[title] = node
 			}
 		}
 	}
 }
 
-// A front that has heard many full servers takes the unheard ones to be full too.
+// After measurements of many full nodes, a front takes the nodes without a measurement to be full too.
 func TestNodesWithoutMeasurementsCountAsTheMean(t *testing.T) {
-	c := newFront(t, largeConfig(300, 60), 1, largeFleet(60))
-	ask := Event{Kind: EvRequest, Session: 1, Title: 5, TimeLeftMs: 3000, FirstCell: 50, Copies: 3, MaxRung: 2}
-	for i, s := range largeFleet(40) {
-		c.Step(1e6+float64(i)*10, []Event{{Kind: EvFeedback, Node: s.ID, Feedback: FeedbackLinkLoad, Value: 1.1}}, nil)
+	front := newFront(t, largeConfig(300, 60), 1, largeNodes(60))
+	request := Event{Kind: EvRequest, Session: 1, Title: 5, TimeLeftMs: 3000, FirstCell: 50, Copies: 3, MaxRung: 2}
+	for i, node := range largeNodes(40) {
+		front.Step(1e6+float64(i)*10, []Event{{Kind: EvFeedback, Node: node.ID, Feedback: FeedbackLinkLoad,
+			Value: 1.1}}, nil)
 	}
-	if _, _, ok := findSetup(c.Step(1e6+400, []Event{ask}, nil)); ok {
-		t.Fatal("sent to an unheard server of a fleet that is full everywhere")
+	if _, _, ok := findSetup(front.Step(1e6+400, []Event{request}, nil)); ok {
+		t.Fatal("set up on a node without a measurement in a fleet that is full everywhere")
 	}
 }
 
-// together runs 100 fronts with one session each on one server at a told load and sums the change of rates.
+// totalRateChangeKB runs 100 fronts with one session each on the same node at a measured load, and returns the sum
+// of their rate changes.
 func totalRateChangeKB(t *testing.T, load float64, rung int) (kb float64) {
-	for me := range 100 {
+	for self := range 100 {
 		cfg := largeConfig(100, 10)
-		cfg.Self = me
-		c := newFront(t, cfg, uint64(me), largeFleet(10))
-		id := largeFleet(1)[0].ID
-		c.Step(1e6, []Event{{Kind: EvExistingSession, Session: 1, Node: id, Title: 1, Copies: 3, MaxRung: 2},
-			{Kind: EvFeedback, Session: 1, Node: id, Feedback: FeedbackRung, Value: float64(rung)}}, nil)
-		c.Step(1e6+6000, []Event{{Kind: EvFeedback, Session: 1, Node: id, Feedback: FeedbackLinkLoad, Value: load},
-			{Kind: EvFeedback, Session: 1, Node: id, Feedback: FeedbackUplinkLoad, Value: 0.5}}, nil)
-		for _, a := range c.Step(1e6+6250, []Event{{Kind: EvTimer, Timer: tickTimerID}}, nil) {
-			if a.Kind == ActSetRung {
-				kb += cfg.RateKB[a.Rung] - cfg.RateKB[rung]
+		cfg.Self = self
+		front := newFront(t, cfg, uint64(self), largeNodes(10))
+		node := largeNodes(1)[0].ID
+		front.Step(1e6, []Event{{Kind: EvExistingSession, Session: 1, Node: node, Title: 1, Copies: 3, MaxRung: 2},
+			{Kind: EvFeedback, Session: 1, Node: node, Feedback: FeedbackRung, Value: float64(rung)}}, nil)
+		front.Step(1e6+6000, []Event{{Kind: EvFeedback, Session: 1, Node: node, Feedback: FeedbackLinkLoad, Value: load},
+			{Kind: EvFeedback, Session: 1, Node: node, Feedback: FeedbackUplinkLoad, Value: 0.5}}, nil)
+		for _, action := range front.Step(1e6+6250, []Event{{Kind: EvTimer, Timer: tickTimerID}}, nil) {
+			if action.Kind == ActSetRung {
+				kb += cfg.RateKB[action.Rung] - cfg.RateKB[rung]
 			}
 		}
 	}
 	return kb
 }
 
-// All fronts together fill or free about what is told, whatever their number: neither nobody nor everybody.
+// All fronts together use or free about as much as is measured, whatever their number: neither no front acts nor
+// does each one act for all.
 func TestManyFrontsRaiseAboutTheFreeCapacity(t *testing.T) {
-	asked := 100 * 50.0 // by all, told as a load of 0.6: a room of a third of it up to 0.80
-	if kb := totalRateChangeKB(t, 0.6, 0); kb < 0.15*asked || kb > 0.6*asked {
-		t.Fatalf("%v kB/s raised where about %v were free", kb, asked/3)
+	demandKB := 100 * 50.0 // of all fronts, measured as a load of 0.6: a third of it is free up to 0.80
+	if kb := totalRateChangeKB(t, 0.6, 0); kb < 0.15*demandKB || kb > 0.6*demandKB {
+		t.Fatalf("%v kB/s raised where about %v were free", kb, demandKB/3)
 	}
 }
 
 func TestManyFrontsLowerAboutTheExcess(t *testing.T) {
-	asked := 100 * 200.0
-	excess := asked * (1.2 - reliefTargetLoad) / 1.2
-	if kb := -totalRateChangeKB(t, 1.2, 2); kb < 0.6*excess || kb > 1.5*excess {
-		t.Fatalf("%v kB/s lowered where %v were too much", kb, excess)
+	demandKB := 100 * 200.0
+	excessKB := demandKB * (1.2 - reliefTargetLoad) / 1.2
+	if kb := -totalRateChangeKB(t, 1.2, 2); kb < 0.6*excessKB || kb > 1.5*excessKB {
+		t.Fatalf("%v kB/s lowered where %v were in excess", kb, excessKB)
 	}
 }
 
-// Where rung 1 earns most for a kB, a newcomer that fits only at the floor is refused, and relief stops there.
+// Where rung 1 earns most per kB, a request that fits only at the lowest rung is refused, and relief stops at
+// rung 1.
 func TestNoSetupBelowTheEfficientRung(t *testing.T) {
 	cfg := testConfig()
 	cfg.RungWorth = []float64{0.2, 0.6, 1}
-	b := startFront(t, cfg)
-	b.reportLinkLoads(setupLoadLimit - 0.06) // 60 of 1000 kB/s: room for the floor of 50, not for 100
-	if _, acts := b.request(0, 2); hasAction(acts, ActSetup) {
-		t.Fatal("set up at the floor, which earns less for a kB")
+	front := startFront(t, cfg)
+	front.reportLinkLoads(setupLoadLimit - 0.06) // 60 of 1000 kB/s are free: enough for rung 0 (50), not for 1 (100)
+	if _, actions := front.request(0, 2); hasAction(actions, ActSetup) {
+		t.Fatal("set up at the lowest rung, which earns less per kB")
 	}
-	b.reportLinkLoads(0.4)
-	if _, acts := b.request(0, 2); !hasAction(acts, ActSetup) {
-		t.Fatal("refused where there is room")
+	front.reportLinkLoads(0.4)
+	if _, actions := front.request(0, 2); !hasAction(actions, ActSetup) {
+		t.Fatal("refused where there is free capacity")
 	}
 }
 
@@ -140,176 +146,186 @@
 	for _, load := range []float64{1.05, 1.9} {
 		cfg := testConfig()
 		cfg.RungWorth = []float64{0.2, 0.6, 1}
-		b := startFront(t, cfg)
-		id := testNodes(1)[0].ID
-		var ev []Event
+		front := startFront(t, cfg)
+		node := testNodes(1)[0].ID
+		var events []Event
 		for i := range SessionID(10) {
-			ev = append(ev, Event{Kind: EvExistingSession, Session: 500 + i, Node: id, Title: 1, Copies: 3, MaxRung: 2},
-				Event{Kind: EvFeedback, Session: 500 + i, Node: id, Feedback: FeedbackRung, Value: 1})
+			events = append(events,
+				Event{Kind: EvExistingSession, Session: 500 + i, Node: node, Title: 1, Copies: 3, MaxRung: 2},
+				Event{Kind: EvFeedback, Session: 500 + i, Node: node, Feedback: FeedbackRung, Value: 1})
 		}
-		b.step(ev...)
-		b.now += 6000
-		b.step(Event{Kind: EvFeedback, Session: 500, Node: id, Feedback: FeedbackLinkLoad, Value: load})
-		b.now += 250
-		lowered := hasAction(b.step(Event{Kind: EvTimer, Timer: tickTimerID}), ActSetRung)
+		front.step(events...)
+		front.now += 6000
+		front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, Value: load})
+		front.now += 250
+		lowered := hasAction(front.step(Event{Kind: EvTimer, Timer: tickTimerID}), ActSetRung)
 		if want := load > deepReliefThreshold; lowered != want {
 			t.Fatalf("at load %v lowered is %v, want %v", load, lowered, want)
 		}
 	}
 }
 
-// The first report of a server is all that is known of it; half of a guess must not dilute it.
+// The first load report of a node is all that is known of it; it must not be averaged with an assumption.
 func TestFirstLoadReportCountsInFull(t *testing.T) {
-	b := startFront(t, testConfig())
-	id, acts := b.request(0, 3)
-	to, _, _ := findSetup(acts)
-	b.step(Event{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: Full, SessionOver: true,
+	front := startFront(t, testConfig())
+	id, actions := front.request(0, 3)
+	node, _, _ := findSetup(actions)
+	front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: Full, SessionOver: true,
 		Report: Report{Present: true, Streams: -1, Link: 1.2, Uplink: -1}})
-	if l := b.controller.linkLoad(b.controller.nodesByID[to]); l < 1.1 {
-		t.Fatalf("link estimate %v after a first report of 1.2", l)
+	if load := front.controller.linkLoad(front.controller.nodesByID[node]); load < 1.1 {
+		t.Fatalf("link load estimate %v after a first report of 1.2", load)
 	}
 }
 
-// 300 fronts press one cold server at the same time; together they must stay under its budget, and some must send.
+// 300 fronts send requests to one cold node at the same time. Together they must stay within its budget, and at
+// least one must set up a session.
 func TestWarmUpPaceWithThreeHundredFronts(t *testing.T) {
 	cfg := largeConfig(300, 10)
 	cfg.WarmUpMs, cfg.StreamsByKind = 10000, []int{30}
-	l := largeFleet(10)
-	for i := range l {
-		l[i].Health = Gone
+	nodes := largeNodes(10)
+	for i := range nodes {
+		nodes[i].Health = Gone
 	}
-	l[0].Health, l[0].StartedAtMs = Ready, 1e6
+	nodes[0].Health, nodes[0].StartedAtMs = Ready, 1e6
 	var fronts []*Controller
-	for me := range cfg.Fronts {
-		cfg.Self = me
-		fronts = append(fronts, newFront(t, cfg, uint64(me), l))
+	for self := range cfg.Fronts {
+		cfg.Self = self
+		fronts = append(fronts, newFront(t, cfg, uint64(self), nodes))
 	}
-	var at []float64
+	var setupTimes []float64
 	for now := 1e6; now < 1e6+cfg.WarmUpMs; now += 50 {
-		for _, c := range fronts {
-			ev := Event{Kind: EvRequest, Session: SessionID(now-1e6) + 1, Title: 1, TimeLeftMs: 3000, Copies: 3}
-			if to, _, ok := findSetup(c.Step(now, []Event{ev}, nil)); ok {
-				at = append(at, now)
-				c.Step(now, []Event{{Kind: EvAttemptEnded, Session: ev.Session, Node: to, Outcome: Full, SessionOver: true}}, nil)
+		for _, front := range fronts {
+			request := Event{Kind: EvRequest, Session: SessionID(now-1e6) + 1, Title: 1, TimeLeftMs: 3000, Copies: 3}
+			if node, _, ok := findSetup(front.Step(now, []Event{request}, nil)); ok {
+				setupTimes = append(setupTimes, now)
+				front.Step(now, []Event{{Kind: EvAttemptEnded, Session: request.Session, Node: node, Outcome: Full,
+					SessionOver: true}}, nil)
 			}
 		}
 	}
 	budget := 2 * float64(cfg.StreamsByKind[0]) / cfg.WarmUpMs * cfg.ColdRateFraction * 1000
-	for i := range at {
-		n := 0.0
-		for _, x := range at[i:] {
-			if x < at[i]+1000 {
-				n++
+	for i := range setupTimes {
+		count := 0.0
+		for _, at := range setupTimes[i:] {
+			if at < setupTimes[i]+1000 {
+				count++
 			}
 		}
-		if n > budget+1 {
-			t.Fatalf("%v set-ups within a second, budget %v", n, budget)
+		if count > budget+1 {
+			t.Fatalf("%v set-ups within a second, budget %v", count, budget)
 		}
 	}
-	if len(at) == 0 {
+	if len(setupTimes) == 0 {
 		t.Fatal("no set-up at all in the warm-up")
 	}
 }
 
-// 300 fronts that date a cold server's start each by itself, some of which start again in between and whose connections
-// come up late: in any TipMs it gets no more than it bears, and sparse fronts still warm it.
+// 300 fronts each date a cold node's start differently, some of them restart in between, and connections come up
+// late. In any ColdWindowMs the node must get no more set-ups than it bears, and fronts with little traffic must
+// still warm it up.
 func TestWarmUpPaceWithRestartsAndLateConnections(t *testing.T) {
-	const n, warm, tip = 300, 12000.0, 1000.0
-	for name, every := range map[string]float64{"pressed": 10, "sparse": 1000} {
-		cfg := largeConfig(n, 10)
-		cfg.WarmUpMs, cfg.ColdRateFraction, cfg.ColdWindowMs, cfg.ConnectTimeoutMs, cfg.StreamsByKind = warm, 0.4, tip, 250, []int{316}
-		l := largeFleet(10)
-		for i := range l {
-			l[i].Health = Gone
+	const fronts, warmUpMs, windowMs = 300, 12000.0, 1000.0
+	for name, intervalMs := range map[string]float64{"heavy traffic": 10, "little traffic": 1000} {
+		cfg := largeConfig(fronts, 10)
+		cfg.WarmUpMs, cfg.ColdRateFraction, cfg.ColdWindowMs, cfg.ConnectTimeoutMs, cfg.StreamsByKind =
+			warmUpMs, 0.4, windowMs, 250, []int{316}
+		nodes := largeNodes(10)
+		for i := range nodes {
+			nodes[i].Health = Gone
 		}
-		l[0].Health = Ready
-		r := rand.New(rand.NewPCG(1, 2))
-		var at []float64
-		for me := range n {
-			cfg.Self = me
-			begin := func(now float64) *Controller {
-				l[0].StartedAtMs = 1e6 - 500*r.Float64() // as this front believes
-				c, err := New(cfg, uint64(me))
+		nodes[0].Health = Ready
+		random := rand.New(rand.NewPCG(1, 2))
+		var setupTimes []float64
+		for self := range fronts {
+			cfg.Self = self
+			start := func(now float64) *Controller {
+				nodes[0].StartedAtMs = 1e6 - 500*random.Float64() // as this front believes
+				front, err := New(cfg, uint64(self))
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.Step(now, []Event{{Kind: EvNodes, Nodes: l}}, nil)
-				return c
+				front.Step(now, []Event{{Kind: EvNodes, Nodes: nodes}}, nil)
+				return front
 			}
-			c, again := begin(1e6), 1e6+warm*r.Float64()
-			for now := 1e6 + every*r.Float64(); now < 1e6+warm-500; now += every {
-				if me%3 == 0 && now > again { // killed and started anew: it has forgotten what it sent
-					c, again = begin(now), math.Inf(1)
+			front, restartAt := start(1e6), 1e6+warmUpMs*random.Float64()
+			for now := 1e6 + intervalMs*random.Float64(); now < 1e6+warmUpMs-500; now += intervalMs {
+				if self%3 == 0 && now > restartAt { // a restart: the front has forgotten its set-ups
+					front, restartAt = start(now), math.Inf(1)
 				}
-				ev := Event{Kind: EvRequest, Session: SessionID(now-1e6) + 1, Title: 1, TimeLeftMs: 3000, Copies: 3}
-				if to, _, ok := findSetup(c.Step(now, []Event{ev}, nil)); ok {
-					at = append(at, now+cfg.ConnectTimeoutMs*r.Float64())
-					c.Step(now, []Event{{Kind: EvAttemptEnded, Session: ev.Session, Node: to, Outcome: NeverSent, SessionOver: true}}, nil)
+				request := Event{Kind: EvRequest, Session: SessionID(now-1e6) + 1, Title: 1, TimeLeftMs: 3000,
+					Copies: 3}
+				if node, _, ok := findSetup(front.Step(now, []Event{request}, nil)); ok {
+					setupTimes = append(setupTimes, now+cfg.ConnectTimeoutMs*random.Float64())
+					front.Step(now, []Event{{Kind: EvAttemptEnded, Session: request.Session, Node: node, Outcome: NeverSent,
+						SessionOver: true}}, nil)
 				}
 			}
 		}
-		slices.Sort(at)
-		allowed := float64(cfg.StreamsByKind[0]) / warm * cfg.ColdRateFraction * tip
-		for i := range at {
-			got := 0.0
-			for _, x := range at[i:] {
-				if x < at[i]+tip {
-					got++
+		slices.Sort(setupTimes)
+		allowed := float64(cfg.StreamsByKind[0]) / warmUpMs * cfg.ColdRateFraction * windowMs
+		for i := range setupTimes {
+			count := 0.0
+			for _, at := range setupTimes[i:] {
+				if at < setupTimes[i]+windowMs {
+					count++
 				}
 			}
-			if got > allowed+2*math.Sqrt(allowed)+2 {
-				t.Errorf("%s: %v set-ups in %v ms, it bears %.1f", name, got, tip, allowed+2*math.Sqrt(allowed)+2)
+			if count > allowed+2*math.Sqrt(allowed)+2 {
+				t.Errorf("%s: %v set-ups in %v ms, the node bears %.1f", name, count, windowMs,
+					allowed+2*math.Sqrt(allowed)+2)
 			}
 		}
-		if most := allowed * warm / tip; float64(len(at)) < most/4 {
-			t.Errorf("%s: %d set-ups in its warm-up, %.0f are allowed: it is not warmed", name, len(at), most)
+		if most := allowed * warmUpMs / windowMs; float64(len(setupTimes)) < most/4 {
+			t.Errorf("%s: %d set-ups in the warm-up, %.0f are allowed: the node is not warmed up", name,
+				len(setupTimes), most)
 		}
-		t.Logf("%s: %d set-ups, %.0f allowed", name, len(at), allowed*warm/tip)
+		t.Logf("%s: %d set-ups, %.0f allowed", name, len(setupTimes), allowed*warmUpMs/windowMs)
 	}
 }
 
-// An empty list, titles without holders, every title everywhere, a late batch and a jump of the clock.
+// An empty node list, titles without holders, titles on every node, a late batch and a jump of the clock.
 func TestEdgeCasesInALargeFleet(t *testing.T) {
-	c := newFront(t, largeConfig(300, 300), 1, nil)
-	ask := func(now float64, id SessionID, copies int) []Action {
-		return c.Step(now, []Event{{Kind: EvRequest, Session: id, Title: uint64(id), TimeLeftMs: 3000,
+	front := newFront(t, largeConfig(300, 300), 1, nil)
+	request := func(now float64, id SessionID, copies int) []Action {
+		return front.Step(now, []Event{{Kind: EvRequest, Session: id, Title: uint64(id), TimeLeftMs: 3000,
 			FirstCell: int(id), Copies: copies, MaxRung: 2}, {Kind: EvTimer, Timer: tickTimerID}}, nil)
 	}
-	if !hasAction(ask(1e6, 1, 3), ActRefuse) {
-		t.Fatal("no answer with an empty list")
+	if !hasAction(request(1e6, 1, 3), ActRefuse) {
+		t.Fatal("no refusal with an empty node list")
 	}
-	c.Step(1e6+1, []Event{{Kind: EvNodes, Nodes: largeFleet(300)}}, nil)
+	front.Step(1e6+1, []Event{{Kind: EvNodes, Nodes: largeNodes(300)}}, nil)
 	var backlog []Event
 	for i := range SessionID(200) {
 		backlog = append(backlog, Event{Kind: EvRequest, Session: 100 + i, Title: uint64(i), TimeLeftMs: 3000,
 			FirstCell: int(i), Copies: 300, MaxRung: 2})
 	}
 	answered := map[SessionID]bool{}
-	for _, a := range c.Step(1e6+5e3, backlog, nil) {
-		if a.Kind == ActSetup || a.Kind == ActRefuse || a.Kind == ActFail {
-			answered[a.Session] = true
+	for _, action := range front.Step(1e6+5e3, backlog, nil) {
+		if action.Kind == ActSetup || action.Kind == ActRefuse || action.Kind == ActFail {
+			answered[action.Session] = true
 		}
 	}
 	if len(answered) != len(backlog) {
-		t.Fatalf("%d of %d requests of a late batch were dealt with", len(answered), len(backlog))
+		t.Fatalf("%d of %d requests of a late batch were set up or answered", len(answered), len(backlog))
 	}
-	if acts := ask(1e9, 900, 3); !hasAction(acts, ActSetup) && !hasAction(acts, ActRefuse) {
+	if actions := request(1e9, 900, 3); !hasAction(actions, ActSetup) && !hasAction(actions, ActRefuse) {
 		t.Fatal("no decision after a jump of the clock")
 	}
-	if acts := ask(1e9+1, 901, 0); !hasAction(acts, ActRefuse) {
-		t.Fatal("a title that nobody holds was not refused")
+	if actions := request(1e9+1, 901, 0); !hasAction(actions, ActRefuse) {
+		t.Fatal("a title that no node holds was not refused")
 	}
 }
 
-// BenchmarkRequest is one request where all 250 servers hold the title; its figure is for reading.
+// BenchmarkRequest measures one request whose title is held by all 250 nodes.
 func BenchmarkRequest(b *testing.B) {
-	c := newFront(b, largeConfig(300, 250), 1, largeFleet(250))
+	front := newFront(b, largeConfig(300, 250), 1, largeNodes(250))
 	for i := range b.N {
 		id := SessionID(i + 1)
-		to, _, ok := findSetup(c.Step(1e6, []Event{{Kind: EvRequest, Session: id, Title: 7, TimeLeftMs: 3000,
+		node, _, ok := findSetup(front.Step(1e6, []Event{{Kind: EvRequest, Session: id, Title: 7, TimeLeftMs: 3000,
 			Copies: 250, MaxRung: 2}}, nil))
 		if ok {
-			c.Step(1e6, []Event{{Kind: EvAttemptEnded, Session: id, Node: to, Outcome: Served, SessionOver: true}}, nil)
+			front.Step(1e6, []Event{{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: Served,
+				SessionOver: true}}, nil)
 		}
 	}
 }
