--- a/decide/limits/limits.go
+++ b/decide/limits/limits.go
@@ -1,189 +1,222 @@
-// Package limits decides what may come in before the module is asked: which
-// requests a director refuses because it is itself overloaded, because a brand
-// holds more than its share, or because one title would starve the others of
-// its brand; how much room must stay free for others when it lets a loan or a
-// repeated try through; and when a refused viewer should come again. It also
-// keeps the accounts of memory by purpose and works out the weight that
-// balancers are told.
+// Package limits decides which session requests a director admits before the
+// placement module is asked. A request is refused because the director itself
+// is overloaded, because a tenant holds more than its share, or because one
+// title would starve the other titles of its tenant. The package also decides
+// how much headroom must stay free beside a session that is admitted on
+// borrowed capacity or as a retry, when a refused viewer should come again, and
+// which weight load balancers are told. Quotas counts resources against limits,
+// RateLimiter bounds the pace of one source, and CapacityEstimator works out
+// the capacity that the tenants share.
 //
-// It is pure: events with their time go in by Step, decisions come out; chance
-// comes from a seed. Nothing is ever held back: each request is answered in the
-// Step that brings it.
+// The package is pure: Step takes events with their time and returns decisions,
+// and all randomness comes from a seed. No request is queued: each is answered
+// in the Step that brings it.
 //
-// While the boxes have room for all, everything passes. Shares and titles only
-// count for titles that the module refuses for want of room: a title lies on
-// some boxes only, and others may have plenty.
+// While the media nodes have capacity for all requests, every request is
+// admitted. Title shares, and the refusal of borrowing, apply only to titles
+// that the module refuses for lack of capacity: a title is held by some media
+// nodes only, and the others may have plenty.
+//
+// States of a title (titleDemand.scarceUntil):
+//
+//	state   meaning                                   changes
+//	plenty  the module finds capacity for its         to scarce when, of at least minScarcePlacements recent
+//	        sessions; only tenant shares apply        placements, scarceRefusalRatio or more were refused
+//	scarce  the module refuses many of its sessions:  to plenty scarceHoldMs after the last placement refusal that
+//	        title shares apply, and nothing is lent   still met these conditions, or the last TitleOverShare refusal
+//
+// Status of a request against its tenant's share (shareStatus):
+//
+//	state        meaning                                             a Request is answered with
+//	withinShare  the tenant does not ask for much more than others,  Admitted; with headroom if it is a retry
+//	             or holds less than its share on the title's cells
+//	borrowing    above its share, in capacity that others leave      Admitted with headroom and Borrowed set;
+//	                                                                 TenantOverShare if the title is scarce
+//	overShare    at MaxShare, or others leave too little             TenantOverShare
+//
+// What each event does:
+//
+//	Request           counts the demand of title and tenant (unless it is a retry) and is answered: DirectorOverloaded,
+//	                  then TitleOverShare, then the share status
+//	PlacementRefused  counts a refusal by the module, which may make the title scarce; answered NoCapacity with advice
+//	SetupStarted      books the session, in equal parts on all cells that hold its title
+//	SessionStarted    counts a placement and books the session on the cell where it plays
+//	SessionEnded      releases what the session holds
+//	CapacityChanged   replaces the capacity of the cells and books all sessions anew
+//	LoadMeasured      updates the load of the director
+//	Tick              only lets time pass
 package limits
 
 import (
 	"math"
 	"math/rand/v2"
-	"sort"
 )
 
 const (
-	slotMs      = 250.0  // ms of a slot of the calendar and of the counts
-	rateTauMs   = 2000.0 // ms in which measured rates forget two thirds
-	scarceFrom  = 0.05   // share of placements refused for want of room from which shares count
-	leastTried  = 8.0    // placements tried lately, or their share says nothing
-	scarceHold  = 1000.0 // ms that shares go on counting after the last refusal by them or by the module
-	fitDown     = 0.2    // of a brand's fit in a slot in which all its first tries were refused
-	fitUp       = 1.1    // its growth in a slot in which none was: 46% a second
-	wantsTaus   = 3.0    // times as long is what brands ask for remembered
-	leastWants  = 0.5    // first tries remembered of a brand that is there
-	pressFrom   = 1.5    // times what another brand asks for, in proportion to their shares
-	mostSpare   = 0.5    // of the room that is ever kept free from loans and repeated tries
-	titleMs     = 1000.0 // ms in which a title's count of what it was let through forgets two thirds
-	calmFrom    = 0.8    // part of a limit from which load is shed
-	panicAt     = 1.5    // part of a limit at which everything new is shed
-	calmTauMs   = 1000.0 // ms in which a fallen load is believed by two thirds
-	returnShare = 0.9    // of refused viewers come again
-	titleSlack  = 2.0    // placements that a title may be ahead of its part
+	slotMs              = 250.0  // ms of a slot of the retry schedule, and between updates of rate factors
+	rateTimeConstantMs  = 2000.0 // ms in which a measured rate decays by two thirds
+	scarceRefusalRatio  = 0.05   // ratio of placements refused for lack of capacity from which a title is scarce
+	minScarcePlacements = 8.0    // recent placements below which the ratio of refusals means nothing
+	scarceHoldMs        = 1000.0 // ms that a title stays scarce after the last refusal by its share or by the module
+	rateFactorDecrease  = 0.2    // ratio by which a rate factor falls in a slot in which all first requests were refused
+	rateFactorIncrease  = 1.1    // growth of a rate factor in a slot without such a refusal: 46% a second
+	demandTimeConstants = 3.0    // rate time constants over which the demand of a tenant is averaged
+	minTenantDemand     = 0.5    // decayed first requests below which a tenant without sessions counts as absent
+	overDemandRatio     = 1.5    // demand over that of another tenant, in proportion to their shares, that is too much
+	maxHeadroom         = 0.5    // largest ratio of the capacity that is kept free from borrowing and retries
+	titleTimeConstantMs = 1000.0 // ms in which the count of a title's admitted sessions decays by two thirds
+	shedStartLoad       = 0.8    // load, as a ratio of the limit, from which requests are shed
+	shedAllLoad         = 1.5    // load, as a ratio of the limit, at which every new request is shed
+	loadTimeConstantMs  = 1000.0 // ms in which the load follows a lower measurement by two thirds
+	expectedReturnRatio = 0.9    // ratio of refused viewers that come again
+	titleShareSlack     = 2.0    // admitted sessions by which a title may exceed its equal share of the tenant
 )
 
-// Brand is one tenant.
+// Tenant is one customer that shares the media nodes with others.
 type Tenant struct {
 	Name     string
-	Share    float64 // its part of what the boxes carry; parts are scaled to add up to 1
-	MaxShare float64 // the largest part that it may hold, loans included; 0: no such cap
+	Share    float64 // its part of the capacity of the media nodes; shares are scaled to add up to 1
+	MaxShare float64 // the largest part that it may hold, borrowed capacity included; 0: no such limit
 }
 
-// Class is what the gate is told of a class.
+// Class describes one class of sessions.
 type Class struct {
-	Value, RateScale float64
+	Value, RateScale float64 // worth of a session; its rates over those of the ladder
 	MinRung, MaxRung int
 }
 
-// Config is what the gate is told.
+// Config is the configuration of an Admission.
 type Config struct {
 	Tenants         []Tenant // the last one also stands for names that are not listed
 	Classes         []Class
 	RateKB          []float64 // the ladder, kB/s
-	RungWorth       []float64 // of each rung
-	MinRetryAfterMs float64   // advice is never shorter
-	MaxRetryAfterMs float64   // nor longer
-	RetryMemoryMs   float64   // how long a refused wish is known as such when it comes again
-	MaxRefusals     int       // refused wishes remembered
-	FullLagMs       float64   // loop lag that counts as full load
-	FullQueue       float64   // waiting events that count as full load
-	FullMemoryBytes float64   // memory that counts as full load; 0: not looked at
-	PropagationMs   float64   // until what others send to a box is known here: as long room must last
-	OthersShare     float64   // part of what is placed that other directors place: only that is not known at once
-	AdmitAll        bool      // decide nothing, for comparison
+	RungWorth       []float64 // what each rung earns
+	MinRetryAfterMs float64   // shortest retry advice
+	MaxRetryAfterMs float64   // longest retry advice; 0: no advice is given
+	RetryMemoryMs   float64   // for how long a refused request is recognized when it comes again
+	MaxRefusals     int       // refused requests that are remembered
+	FullLagMs       float64   // lag of the event loop that counts as full load; 0: ignored
+	FullQueue       float64   // waiting events that count as full load; 0: ignored
+	FullMemoryBytes float64   // memory that counts as full load; 0: ignored
+	// PropagationMs is the time until the set-ups that other directors send to a media node are known here. Headroom
+	// must cover what is placed in that time.
+	PropagationMs float64
+	OthersShare   float64 // part of all placements made by other directors: only these are not known at once
+	AdmitAll      bool    // refuse nothing, for comparison
 }
 
 // EventKind tells which fields of an Event are set.
 type EventKind uint8
 
-// The events.
+// The kinds of events.
 const (
-	Request          EventKind = iota // ID, Wish, Brand, Title, Class, Home, Copies, Top: a new wanted session
-	SetupStarted                      // ID, Brand, Class, Home, Copies, Top: session ID is being set up somewhere
-	SessionStarted                    // ID, Wish, Brand, Title, Home: session ID plays in cell Home
-	SessionEnded                      // ID: session ID holds nothing any more
-	PlacementRefused                  // ID, Wish, Brand, Title: the module refused for want of room; answered with advice
-	CapacityChanged                   // Room: the fleet has changed
+	Request          EventKind = iota // ID, RequestKey, Tenant, Title, Class, FirstCell, Copies, MaxRung: a viewer asks
+	SetupStarted                      // ID, Tenant, Class, FirstCell, Copies, MaxRung: session ID is being set up
+	SessionStarted                    // ID, RequestKey, Tenant, Title, FirstCell: session ID plays in cell FirstCell
+	SessionEnded                      // ID: the session holds nothing any more
+	PlacementRefused                  // ID, RequestKey, Tenant, Title: the module found no capacity; answered with advice
+	CapacityChanged                   // Capacity: the media nodes have changed
 	LoadMeasured                      // LagMs, Queue, MemoryBytes
-	Tick
+	Tick                              // only time passes
 )
 
 // Event is one fact or one request.
 type Event struct {
 	Kind              EventKind
-	ID                uint64
-	RequestKey        uint64 // what is wanted by whom; the same when a viewer comes again
+	ID                uint64 // of the session
+	RequestKey        uint64 // identifies viewer and session wanted; the same when a viewer comes again
 	Title             uint64
 	Tenant, Class     int
 	FirstCell, Copies int // the first cell that holds the title, and how many in a row do
-	MaxRung           int // the viewer's highest rung; of Begin: as the Action said
+	MaxRung           int // the viewer's highest rung; of SetupStarted: that of the Action
 	LagMs, Queue      float64
 	MemoryBytes       float64
 	Capacity          []Capacity // by cell; only read during Step
 }
 
-// Reason tells why a request is not let through.
+// Reason tells why a request was refused.
 type Reason uint8
 
 // The reasons.
 const (
 	Admitted           Reason = iota
 	DirectorOverloaded        // the director itself is over its limits
-	TenantOverShare           // the brand holds its share, and what others leave is used
-	TitleOverShare            // the title has more than its part of the brand
-	NoCapacity                // the module's refusal; only the advice is from here
+	TenantOverShare           // the tenant holds its share, and what others leave is used
+	TitleOverShare            // the title has more than its part of the tenant's share
+	NoCapacity                // the module refused the placement; only the retry advice comes from this package
 )
 
 var reasonNames = [...]string{"pass", "overload", "share", "title", "room"}
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// Action is one decision.
+// Action is the decision on one request.
 type Action struct {
 	ID           uint64
 	Reason       Reason
-	RetryAfterMs float64 // advice, where it is refused
-	Retried      bool    // the wish was refused before
-	Borrowed     bool    // it was let through beyond its brand's own part
+	RetryAfterMs float64 // retry advice of a refusal
+	Retried      bool    // the request was refused before
+	Borrowed     bool    // admitted above the tenant's own share
 	MaxRung      int     // highest rung that the session may have
-	Headroom     float64 // share of a box's room that must stay free beside it
+	Headroom     float64 // ratio of a media node's capacity that must stay free beside the session
 }
 
-// rate is a count a second that forgets.
-type rate struct{ perMs float64 }
+// decayingRate is a rate of events per ms, averaged with exponential decay.
+type decayingRate struct{ perMs float64 }
 
-func (r *rate) add(n float64)   { r.perMs += n / rateTauMs }
-func (r *rate) fade(ms float64) { r.perMs *= math.Exp(-ms / rateTauMs) }
+func (r *decayingRate) add(count float64) { r.perMs += count / rateTimeConstantMs }
+func (r *decayingRate) decay(ms float64)  { r.perMs *= math.Exp(-ms / rateTimeConstantMs) }
 
-// want is what is known of one title's demand: it is short of room while the module refuses it.
-type want struct {
-	placed, firsts rate
-	tried, noRoom  float64 // placements tried and refused in the last half second or so
-	at             float64 // when the figures were last faded
-	until          float64 // it is short until then
+// titleDemand is the measured demand for one title. The title is scarce while the module refuses it.
+type titleDemand struct {
+	placements, firstRequests decayingRate
+	triedCount, refusedCount  float64 // placements tried and refused, decayed over 2*slotMs
+	decayedAt                 float64
+	scarceUntil               float64
 }
 
-// pass lets the time up to now go by.
-func (r *want) pass(now float64) {
-	ms := now - r.at
+// decayTo decays the figures up to now.
+func (d *titleDemand) decayTo(now float64) {
+	ms := now - d.decayedAt
 	if ms <= 0 {
 		return
 	}
-	r.at = now
-	r.placed.fade(ms)
-	r.firsts.fade(ms)
-	fade := math.Exp(-ms / (2 * slotMs))
-	r.tried *= fade
-	r.noRoom *= fade
+	d.decayedAt = now
+	d.placements.decay(ms)
+	d.firstRequests.decay(ms)
+	factor := math.Exp(-ms / (2 * slotMs))
+	d.triedCount *= factor
+	d.refusedCount *= factor
 }
 
-// Gate is the state.
+// Admission is the state of admission control.
 type Admission struct {
-	cfg      Config
-	rng      *rand.Rand
-	now      float64
-	started  bool
-	swept    float64
-	began    float64
-	wants    map[uint64]*want // by title
-	hot      []*want          // those that are short of room
-	placed   float64          // placements a ms of these, and first tries
-	firsts   float64
-	tried    float64
-	noRoom   float64 // both of the last second or so: placements tried and refused
-	brands   []*brand
-	rooms    []Capacity // by cell: this director's part
-	whole    Capacity
-	holds    map[uint64]*hold // by session
-	fitted   float64          // when the brands' fits were last moved
-	moving   rate             // kB/s of sessions that begin to play, a ms
-	severity float64
-	returns  calendar
-	wishes   wishes
-	ranks    []int // of classes by worth
-	steps    int
+	cfg                  Config
+	rng                  *rand.Rand
+	now                  float64
+	started              bool
+	lastSweepAt          float64                 // when demands was last cleared of unused titles
+	startedAt            float64                 // time of the first Step
+	demands              map[uint64]*titleDemand // by title
+	scarceTitles         []*titleDemand
+	scarcePlacements     float64 // placements per ms of scarce titles
+	scarceFirstRequests  float64 // first requests per ms for scarce titles
+	triedCount           float64 // placements tried of all titles, decayed over 2*slotMs
+	refusedCount         float64 // of these, those that the module refused
+	tenants              []*tenantState
+	cells                []Capacity          // this director's part of the capacity, by cell
+	total                Capacity            // the sum of cells
+	holdings             map[uint64]*holding // by session
+	rateFactorsUpdatedAt float64
+	startedRate          decayingRate // kB/s of sessions that start to play, per ms
+	currentLoad          float64
+	retries              retrySchedule
+	refusals             refusedRequests
+	classRanks           []int // rank of each class by worth
+	rankCount            int
 }
 
-// New makes a gate; seed is its only source of chance.
+// New makes an Admission; seed is its only source of randomness.
 func New(cfg Config, seed uint64) *Admission {
 	if len(cfg.Tenants) == 0 {
 		cfg.Tenants = []Tenant{{Name: "all", Share: 1}}
@@ -194,305 +227,251 @@
 	if len(cfg.RateKB) == 0 {
 		cfg.RateKB, cfg.RungWorth = []float64{1}, []float64{1}
 	}
-	g := &Admission{cfg: cfg, wants: map[uint64]*want{}, holds: map[uint64]*hold{}, rng: rand.New(rand.NewPCG(seed, 0x6c696d69))}
-	g.SetTenants(cfg.Tenants)
-	g.wishes.most = max(cfg.MaxRefusals, 1)
-	g.ranks, g.steps = ranks(cfg.Classes)
-	return g
+	a := &Admission{cfg: cfg, demands: map[uint64]*titleDemand{}, holdings: map[uint64]*holding{},
+		rng: rand.New(rand.NewPCG(seed, 0x6c696d69))}
+	a.SetTenants(cfg.Tenants)
+	a.refusals.limit = max(cfg.MaxRefusals, 1)
+	a.classRanks, a.rankCount = rankClasses(cfg.Classes)
+	return a
 }
 
-// SetBrands changes the shares. What is held stays held; what a brand holds that is no longer listed is the last
-// one's.
-func (g *Admission) SetTenants(list []Tenant) {
-	total := 0.0
-	for _, b := range list {
-		total += math.Max(b.Share, 0)
-	}
-	old := map[string]*brand{}
-	for _, b := range g.brands {
-		old[b.Name] = b
-	}
-	g.brands = nil
-	for _, b := range list {
-		n := old[b.Name]
-		if n == nil {
-			n = &brand{titles: map[uint64]*title{}, fit: 1, held: make([]Capacity, len(g.rooms))}
+// SetTenants changes the tenants and their shares. Sessions keep what they hold; those of a tenant that is no longer
+// listed count for the last one.
+func (a *Admission) SetTenants(list []Tenant) {
+	totalShare := 0.0
+	for _, t := range list {
+		totalShare += math.Max(t.Share, 0)
+	}
+	old := map[string]*tenantState{}
+	for _, t := range a.tenants {
+		old[t.Name] = t
+	}
+	a.tenants = nil
+	for _, t := range list {
+		state := old[t.Name]
+		if state == nil {
+			state = &tenantState{titles: map[uint64]*titleUsage{}, rateFactor: 1, heldByCell: make([]Capacity, len(a.cells))}
 		}
-		n.Tenant = b
-		if total > 0 {
-			n.part = math.Max(b.Share, 0) / total
+		state.Tenant = t
+		if totalShare > 0 {
+			state.normalizedShare = math.Max(t.Share, 0) / totalShare
 		} else {
-			n.part = 1 / float64(len(list))
+			state.normalizedShare = 1 / float64(len(list))
 		}
-		g.brands = append(g.brands, n)
+		a.tenants = append(a.tenants, state)
 	}
-	g.cfg.Tenants = list
-	g.recount()
+	a.cfg.Tenants = list
+	a.recomputeHoldings()
 }
 
-// BrandNumber finds a brand; names that are not listed are the last one's.
-func (g *Admission) TenantIndex(name string) int {
-	for i, b := range g.brands {
-		if b.Name == name {
+// TenantIndex finds a tenant by its name; names that are not listed belong to the last tenant.
+func (a *Admission) TenantIndex(name string) int {
+	for i, t := range a.tenants {
+		if t.Name == name {
 			return i
 		}
 	}
-	return len(g.brands) - 1
+	return len(a.tenants) - 1
 }
 
-// Scarce tells whether shares count at present.
-func (g *Admission) Scarce() bool { return len(g.hot) > 0 }
+// Scarce tells whether any title is scarce at present.
+func (a *Admission) Scarce() bool { return len(a.scarceTitles) > 0 }
 
-// want finds a title's figures, faded up to now.
-func (g *Admission) want(title uint64) *want {
-	r := g.wants[title]
-	if r == nil {
-		r = &want{at: g.now}
-		g.wants[title] = r
+// demand finds the demand for a title, decayed up to now.
+func (a *Admission) demand(title uint64) *titleDemand {
+	d := a.demands[title]
+	if d == nil {
+		d = &titleDemand{decayedAt: a.now}
+		a.demands[title] = d
 	}
-	r.pass(g.now)
-	return r
+	d.decayTo(a.now)
+	return d
 }
 
-// Severity is the director's own load over its limits: 1 is full.
-func (g *Admission) Load() float64 { return g.severity }
+// Load is the director's own load over its limits: 1 is full load.
+func (a *Admission) Load() float64 { return a.currentLoad }
 
-// Remembered is the number of refused wishes that are known.
-func (g *Admission) RememberedRefusals() int { return g.wishes.len() }
+// RememberedRefusals is the number of refused requests that are remembered.
+func (a *Admission) RememberedRefusals() int { return a.refusals.len() }
 
-// Step takes the events of one moment and appends a decision for each Ask and NoRoom, in their order.
-func (g *Admission) Step(now float64, events []Event, out []Action) []Action {
-	g.pass(now)
+// Step takes the events of one moment and appends a decision for each Request and PlacementRefused, in their order.
+func (a *Admission) Step(now float64, events []Event, out []Action) []Action {
+	a.advance(now)
 	for i := range events {
 		ev := &events[i]
 		switch ev.Kind {
 		case Request:
-			out = append(out, g.ask(ev))
+			out = append(out, a.admit(ev))
 		case PlacementRefused:
-			r := g.want(ev.Title)
-			g.tried++
-			g.noRoom++
-			r.tried++
-			r.noRoom++
-			g.look(r)
-			repeated := g.wishes.known(ev.RequestKey, g.now, g.cfg.RetryMemoryMs)
-			if !repeated {
-				g.brand(ev.Tenant).unmet(ev.Title, g.now)
+			d := a.demand(ev.Title)
+			a.triedCount++
+			a.refusedCount++
+			d.triedCount++
+			d.refusedCount++
+			a.updateScarcity(d)
+			retried := a.refusals.contains(ev.RequestKey, a.now, a.cfg.RetryMemoryMs)
+			if !retried {
+				a.tenant(ev.Tenant).recordRefusal(ev.Title, a.now)
 			}
-			out = append(out, g.refuse(ev, NoCapacity, repeated))
+			out = append(out, a.refuse(ev, NoCapacity, retried))
 		case SetupStarted:
-			g.begin(ev)
+			a.startSetup(ev)
 		case SessionStarted:
-			g.settle(ev)
-			g.tried++
-			r := g.want(ev.Title)
-			r.tried++
-			r.placed.add(1)
-			g.wishes.forget(ev.RequestKey)
+			a.startSession(ev)
+			a.triedCount++
+			d := a.demand(ev.Title)
+			d.triedCount++
+			d.placements.add(1)
+			a.refusals.remove(ev.RequestKey)
 		case SessionEnded:
-			g.drop(ev.ID)
+			a.removeHolding(ev.ID)
 		case CapacityChanged:
-			g.rooms = append(g.rooms[:0], ev.Capacity...)
-			g.recount()
+			a.cells = append(a.cells[:0], ev.Capacity...)
+			a.recomputeHoldings()
 		case LoadMeasured:
-			g.load(ev)
+			a.updateLoad(ev)
 		}
 	}
 	return out
 }
 
-// pass lets time go by: rates fade.
-func (g *Admission) pass(now float64) {
-	if !g.started {
-		g.started, g.now, g.began = true, now, now
-		g.returns.start(now)
+// advance moves the time to now: rates decay, and rate factors are updated once a slot.
+func (a *Admission) advance(now float64) {
+	if !a.started {
+		a.started, a.now, a.startedAt = true, now, now
+		a.retries.reset(now)
 		return
 	}
-	ms := now - g.now
+	ms := now - a.now
 	if ms <= 0 {
 		return
 	}
-	g.now = now
-	g.rest()
-	fade := math.Exp(-ms / (2 * slotMs))
-	g.tried *= fade
-	g.noRoom *= fade
-	g.moving.fade(ms)
-	for _, b := range g.brands {
-		b.wants.fade(ms / wantsTaus)
-	}
-	if now-g.fitted >= slotMs {
-		g.fitted = now
-		for _, b := range g.brands {
-			b.refit(g.cfg.RateKB[0] / g.cfg.RateKB[len(g.cfg.RateKB)-1])
+	a.now = now
+	a.refreshScarceTitles()
+	factor := math.Exp(-ms / (2 * slotMs))
+	a.triedCount *= factor
+	a.refusedCount *= factor
+	a.startedRate.decay(ms)
+	for _, t := range a.tenants {
+		t.demand.decay(ms / demandTimeConstants)
+	}
+	if now-a.rateFactorsUpdatedAt >= slotMs {
+		a.rateFactorsUpdatedAt = now
+		for _, t := range a.tenants {
+			t.updateRateFactor(a.cfg.RateKB[0] / a.cfg.RateKB[len(a.cfg.RateKB)-1])
 		}
 	}
-	g.returns.pass(now)
+	a.retries.advance(now)
 }
 
-// placing is the measured rate of placements a ms. A young measurement is scaled up by the time that it lacks.
-func (g *Admission) placing() float64 {
-	return g.placed / math.Max(1-math.Exp(-(g.now-g.began)/rateTauMs), 0.05)
+// scarcePlacementRate is the measured rate of placements of scarce titles per ms. A measurement that has just begun
+// is scaled up for the time that it lacks.
+func (a *Admission) scarcePlacementRate() float64 {
+	return a.scarcePlacements / math.Max(1-math.Exp(-(a.now-a.startedAt)/rateTimeConstantMs), 0.05)
 }
 
-// look finds a title short of room. With the first one the shares begin to count.
-func (g *Admission) look(r *want) {
-	if r.tried < leastTried || r.noRoom/r.tried < scarceFrom {
+// updateScarcity marks a title as scarce if enough of its recent placements were refused.
+func (a *Admission) updateScarcity(d *titleDemand) {
+	if d.triedCount < minScarcePlacements || d.refusedCount/d.triedCount < scarceRefusalRatio {
 		return
 	}
-	if g.now >= r.until {
-		g.hot = append(g.hot, r)
-		g.placed += r.placed.perMs
-		g.firsts += r.firsts.perMs
+	if a.now >= d.scarceUntil {
+		a.scarceTitles = append(a.scarceTitles, d)
+		a.scarcePlacements += d.placements.perMs
+		a.scarceFirstRequests += d.firstRequests.perMs
 	}
-	r.until = g.now + scarceHold
+	d.scarceUntil = a.now + scarceHoldMs
 }
 
-// rest lets go of titles that have room again, and forgets those that nobody asks for.
-func (g *Admission) rest() {
-	g.placed, g.firsts = 0, 0
-	kept := g.hot[:0]
-	for _, r := range g.hot {
-		if g.now < r.until {
-			r.pass(g.now)
-			g.placed += r.placed.perMs
-			g.firsts += r.firsts.perMs
-			kept = append(kept, r)
+// refreshScarceTitles removes the titles that are no longer scarce, and forgets those that nobody asks for.
+func (a *Admission) refreshScarceTitles() {
+	a.scarcePlacements, a.scarceFirstRequests = 0, 0
+	kept := a.scarceTitles[:0]
+	for _, d := range a.scarceTitles {
+		if a.now < d.scarceUntil {
+			d.decayTo(a.now)
+			a.scarcePlacements += d.placements.perMs
+			a.scarceFirstRequests += d.firstRequests.perMs
+			kept = append(kept, d)
 		}
 	}
-	g.hot = kept
-	if g.now-g.swept < 2*rateTauMs {
+	a.scarceTitles = kept
+	if a.now-a.lastSweepAt < 2*rateTimeConstantMs {
 		return
 	}
-	g.swept = g.now
-	for id, r := range g.wants {
-		if g.now-r.at > 10*rateTauMs && g.now >= r.until {
-			delete(g.wants, id)
+	a.lastSweepAt = a.now
+	for title, d := range a.demands {
+		if a.now-d.decayedAt > 10*rateTimeConstantMs && a.now >= d.scarceUntil {
+			delete(a.demands, title)
 		}
 	}
 }
 
-func (g *Admission) brand(i int) *brand {
-	if i < 0 || i >= len(g.brands) {
-		i = len(g.brands) - 1
+// tenant returns a tenant by its index; an index out of range, as from before a change of tenants, is the last one.
+func (a *Admission) tenant(i int) *tenantState {
+	if i < 0 || i >= len(a.tenants) {
+		i = len(a.tenants) - 1
 	}
-	return g.brands[i]
+	return a.tenants[i]
 }
 
-func (g *Admission) ask(ev *Event) Action {
-	b := g.brand(ev.Tenant)
-	repeated := g.wishes.known(ev.RequestKey, g.now, g.cfg.RetryMemoryMs)
-	r := g.want(ev.Title)
-	if !repeated {
-		r.firsts.add(1)
-		b.wants.add(1 / wantsTaus)
-	}
-	if g.cfg.AdmitAll {
-		return Action{ID: ev.ID, Retried: repeated, MaxRung: ev.MaxRung}
-	}
-	if g.sheds(ev.Class, repeated) {
-		return g.refuse(ev, DirectorOverloaded, repeated)
-	}
-	t := b.title(ev.Title, g.now)
-	short := g.now < r.until
-	if short && b.starves(t, g.now) {
-		r.until = g.now + scarceHold
-		return g.refuse(ev, TitleOverShare, repeated)
-	}
-	a := Action{ID: ev.ID, Retried: repeated, MaxRung: g.top(b, ev)}
-	kb := g.kb(ev.Class, a.MaxRung)
-	s, rates := g.stand(b, ev, kb)
-	if !repeated {
-		b.asked++
-	}
-	if s == beyond || s == lent && short { // where the module finds no room there is none to lend, whatever is booked
-		if !repeated {
-			b.unmet(ev.Title, g.now)
-			if rates {
-				b.missed++
+// admit decides on a request.
+func (a *Admission) admit(ev *Event) Action {
+	t := a.tenant(ev.Tenant)
+	retried := a.refusals.contains(ev.RequestKey, a.now, a.cfg.RetryMemoryMs)
+	d := a.demand(ev.Title)
+	if !retried {
+		d.firstRequests.add(1)
+		t.demand.add(1 / demandTimeConstants)
+	}
+	if a.cfg.AdmitAll {
+		return Action{ID: ev.ID, Retried: retried, MaxRung: ev.MaxRung}
+	}
+	if a.shouldShed(ev.Class, retried) {
+		return a.refuse(ev, DirectorOverloaded, retried)
+	}
+	usage := t.titleUsage(ev.Title, a.now)
+	scarce := a.now < d.scarceUntil
+	if scarce && t.exceedsTitleShare(usage, a.now) {
+		d.scarceUntil = a.now + scarceHoldMs
+		return a.refuse(ev, TitleOverShare, retried)
+	}
+	action := Action{ID: ev.ID, Retried: retried, MaxRung: a.maxRung(t, ev)}
+	rateKB := a.sessionRateKB(ev.Class, action.MaxRung)
+	status, rateBound := a.checkShare(t, ev, rateKB)
+	if !retried {
+		t.firstRequests++
+	}
+	// Where the module finds no capacity there is none to lend, whatever the holdings say.
+	if status == overShare || status == borrowing && scarce {
+		if !retried {
+			t.recordRefusal(ev.Title, a.now)
+			if rateBound {
+				t.rateRefusals++
 			}
 		}
-		return g.refuse(ev, TenantOverShare, repeated)
-	}
-	t.used++
-	if a.Borrowed = s == lent; a.Borrowed || repeated {
-		a.Headroom = g.spare()
-	}
-	return a
-}
-
-// refuse remembers the wish and finds a time for its return.
-func (g *Admission) refuse(ev *Event, why Reason, repeated bool) Action {
-	g.wishes.add(ev.RequestKey, g.now)
-	a := Action{ID: ev.ID, Reason: why, Retried: repeated}
-	if g.cfg.MaxRetryAfterMs <= 0 {
-		return a
-	}
-	if g.cfg.AdmitAll {
-		a.RetryAfterMs = g.cfg.MaxRetryAfterMs
-		return a
-	}
-	spare := math.Max(g.placing()-g.firsts, g.placing()*0.1) * slotMs
-	a.RetryAfterMs = g.returns.book(g.now, g.cfg.MinRetryAfterMs, g.cfg.MaxRetryAfterMs, spare, g.rng)
-	return a
-}
-
-// ---- load of the director itself ----
-
-// load takes the director's own figures. A rise is believed at once, a fall slowly, so that shedding does not
-// flap with the lag that it cures.
-func (g *Admission) load(ev *Event) {
-	s := 0.0
-	for _, f := range [][2]float64{{ev.LagMs, g.cfg.FullLagMs}, {ev.Queue, g.cfg.FullQueue}, {ev.MemoryBytes, g.cfg.FullMemoryBytes}} {
-		if f[1] > 0 {
-			s = math.Max(s, f[0]/f[1])
-		}
+		return a.refuse(ev, TenantOverShare, retried)
 	}
-	if s < g.severity {
-		s = g.severity + (s-g.severity)*(1-math.Exp(-slotMs/calmTauMs))
+	usage.admitted++
+	if action.Borrowed = status == borrowing; action.Borrowed || retried {
+		action.Headroom = a.headroom()
 	}
-	g.severity = s
+	return action
 }
 
-// ranks numbers classes by worth, the least first; equal worth is equal rank.
-func ranks(classes []Class) (rank []int, distinct int) {
-	var values []float64
-	for _, k := range classes {
-		values = append(values, k.Value)
-	}
-	sorted := append([]float64(nil), values...)
-	sort.Float64s(sorted)
-	place := map[float64]int{}
-	for _, v := range sorted {
-		if _, ok := place[v]; !ok {
-			place[v] = len(place)
-		}
-	}
-	for _, v := range values {
-		rank = append(rank, place[v])
-	}
-	return rank, len(place)
-}
-
-// sheds tells whether a request is refused for the director's own sake: the cheapest refusal first, that is by
-// worth, and among equal worth repeated tries before first ones.
-func (g *Admission) sheds(class int, repeated bool) bool {
-	if g.severity < calmFrom {
-		return false
-	}
-	step := 2 * g.ranks[min(max(class, 0), len(g.ranks)-1)]
-	if !repeated {
-		step++
-	}
-	return g.severity >= calmFrom+(panicAt-calmFrom)*float64(step)/float64(2*g.steps)
-}
-
-// Weight is what a balancer should be told of this director, 1 to 100: less as its own load nears its limits
-// and while its boxes have no room.
-func (g *Admission) Weight() int {
-	w := 1 - math.Min(math.Max(g.severity-0.5, 0)/0.5, 1)
-	if g.tried >= 1 {
-		w *= 1 - 0.5*g.noRoom/g.tried
-	}
-	return max(int(math.Round(w*100)), 1)
+// refuse remembers a refused request and schedules its return.
+func (a *Admission) refuse(ev *Event, reason Reason, retried bool) Action {
+	a.refusals.add(ev.RequestKey, a.now)
+	action := Action{ID: ev.ID, Reason: reason, Retried: retried}
+	if a.cfg.MaxRetryAfterMs <= 0 {
+		return action
+	}
+	if a.cfg.AdmitAll {
+		action.RetryAfterMs = a.cfg.MaxRetryAfterMs
+		return action
+	}
+	// What first requests leave of the placements, at least a tenth of them, is for retries.
+	retriesPerSlot := math.Max(a.scarcePlacementRate()-a.scarceFirstRequests, a.scarcePlacementRate()*0.1) * slotMs
+	action.RetryAfterMs = a.retries.reserve(a.now, a.cfg.MinRetryAfterMs, a.cfg.MaxRetryAfterMs, retriesPerSlot, a.rng)
+	return action
 }
--- a/decide/limits/limits_test.go
+++ b/decide/limits/limits_test.go
@@ -12,7 +12,7 @@
 	"headmill"
 )
 
-// The same cases each time: a verdict must not depend on the day.
+// TestMain fixes the seed, so that each run checks the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "7")
@@ -20,262 +20,277 @@
 	os.Exit(m.Run())
 }
 
-func config() Config {
-	return Config{Tenants: []Tenant{{Name: "a", Share: 3}, {Name: "b", Share: 1}}, Classes: []Class{{Value: 3, RateScale: 1, MaxRung: 3}, {Value: 1, RateScale: 1, MaxRung: 3}, {Value: 1, RateScale: 1, MaxRung: 3}},
-		RateKB: []float64{6, 14, 28, 56}, RungWorth: []float64{0.2, 0.5, 0.76, 1}, PropagationMs: 200, OthersShare: 1, MinRetryAfterMs: 200,
-		MaxRetryAfterMs: 8000, RetryMemoryMs: 30000, MaxRefusals: 1000, FullLagMs: 100, FullQueue: 1000, FullMemoryBytes: 1e9}
+func testConfig() Config {
+	return Config{
+		Tenants: []Tenant{{Name: "a", Share: 3}, {Name: "b", Share: 1}},
+		Classes: []Class{{Value: 3, RateScale: 1, MaxRung: 3}, {Value: 1, RateScale: 1, MaxRung: 3},
+			{Value: 1, RateScale: 1, MaxRung: 3}},
+		RateKB: []float64{6, 14, 28, 56}, RungWorth: []float64{0.2, 0.5, 0.76, 1},
+		PropagationMs: 200, OthersShare: 1, MinRetryAfterMs: 200,
+		MaxRetryAfterMs: 8000, RetryMemoryMs: 30000, MaxRefusals: 1000,
+		FullLagMs: 100, FullQueue: 1000, FullMemoryBytes: 1e9}
 }
 
-// world is a pool of places, held until a session is over, behind a gate. It serves for the gate's own bookkeeping;
-// what a gate is worth is measured over sockets, which no model of this kind is near (see docs/design/limits.md).
-type world struct {
-	g                  *Admission
-	now, seats, used   float64
-	holdMs             float64
-	next               uint64
+// streamPool simulates admission control in front of a pool of streams, each held until its session ends. It tests the
+// bookkeeping of Admission only; the benefit of admission control is measured over sockets, which no model of this
+// kind comes near (see docs/design/limits.md).
+type streamPool struct {
+	admission          *Admission
+	now, streams, used float64
+	sessionMs          float64
+	nextID             uint64
 	ends               map[int][]uint64 // sessions by the ms, in steps of 10, at which they end
-	placed, asked      map[int]int      // by brand
-	shed               map[Reason]int
-	advice             []float64
-	firstsIn, repeatIn int // let through while scarce
+	placed, requested  map[int]int      // by tenant
+	refusals           map[Reason]int
+	retryAfterMs       []float64
+	// First requests and retries that were placed while a title was scarce.
+	firstsPlaced, retriesPlaced int
 }
 
-func newWorld(cfg Config, seats, holdMs float64) *world {
-	w := &world{g: New(cfg, 1), seats: seats, holdMs: holdMs, placed: map[int]int{}, asked: map[int]int{}, shed: map[Reason]int{},
-		ends: map[int][]uint64{}}
-	w.g.Step(0, []Event{{Kind: CapacityChanged, Capacity: []Capacity{{RateKB: seats * 56, Streams: seats}}}}, nil)
-	return w
+func newStreamPool(cfg Config, streams, sessionMs float64) *streamPool {
+	p := &streamPool{admission: New(cfg, 1), streams: streams, sessionMs: sessionMs, placed: map[int]int{},
+		requested: map[int]int{}, refusals: map[Reason]int{}, ends: map[int][]uint64{}}
+	p.admission.Step(0, []Event{{Kind: CapacityChanged,
+		Capacity: []Capacity{{RateKB: streams * 56, Streams: streams}}}}, nil)
+	return p
 }
 
-// wait lets time pass in the world, and room come free.
-func (w *world) wait(ms float64) {
+// wait lets time pass and ends the sessions whose time is over.
+func (p *streamPool) wait(ms float64) {
 	for range int(ms / 10) {
-		w.now += 10
-		for _, id := range w.ends[int(w.now)/10] {
-			w.used--
-			w.g.Step(w.now, []Event{{Kind: SessionEnded, ID: id}}, nil)
+		p.now += 10
+		for _, id := range p.ends[int(p.now)/10] {
+			p.used--
+			p.admission.Step(p.now, []Event{{Kind: SessionEnded, ID: id}}, nil)
 		}
-		delete(w.ends, int(w.now)/10)
+		delete(p.ends, int(p.now)/10)
 	}
-	w.g.Step(w.now, []Event{{Kind: Tick}}, nil)
+	p.admission.Step(p.now, []Event{{Kind: Tick}}, nil)
 }
 
-// ask brings one request; it returns whether it plays, and else the advice.
-func (w *world) ask(brand int, wish, title uint64) (bool, float64) {
-	w.next++
-	w.asked[brand]++
-	ev := Event{Kind: Request, ID: w.next, RequestKey: wish, Tenant: brand, Title: title, Class: 1, Copies: 1, MaxRung: 3}
-	a := w.g.Step(w.now, []Event{ev}, nil)[0]
-	if a.Reason != Admitted {
-		w.shed[a.Reason]++
-		w.advice = append(w.advice, a.RetryAfterMs)
-		return false, a.RetryAfterMs
-	}
-	if w.used+1 <= w.seats*(1-a.Headroom) {
-		w.used++
-		w.placed[brand]++
-		if w.g.Scarce() {
-			if a.Retried {
-				w.repeatIn++
+// request brings one request. It returns whether the session plays, and else the retry advice.
+func (p *streamPool) request(tenant int, key, title uint64) (bool, float64) {
+	p.nextID++
+	p.requested[tenant]++
+	ev := Event{Kind: Request, ID: p.nextID, RequestKey: key, Tenant: tenant, Title: title, Class: 1, Copies: 1,
+		MaxRung: 3}
+	action := p.admission.Step(p.now, []Event{ev}, nil)[0]
+	if action.Reason != Admitted {
+		p.refusals[action.Reason]++
+		p.retryAfterMs = append(p.retryAfterMs, action.RetryAfterMs)
+		return false, action.RetryAfterMs
+	}
+	if p.used+1 <= p.streams*(1-action.Headroom) {
+		p.used++
+		p.placed[tenant]++
+		if p.admission.Scarce() {
+			if action.Retried {
+				p.retriesPlaced++
 			} else {
-				w.firstsIn++
+				p.firstsPlaced++
 			}
 		}
-		begin := ev
-		begin.Kind, begin.MaxRung = SetupStarted, a.MaxRung
+		setup := ev
+		setup.Kind, setup.MaxRung = SetupStarted, action.MaxRung
 		ev.Kind = SessionStarted
-		w.g.Step(w.now, []Event{begin, ev}, nil)
-		end := int(w.now+w.holdMs) / 10
-		w.ends[end] = append(w.ends[end], ev.ID)
+		p.admission.Step(p.now, []Event{setup, ev}, nil)
+		end := int(p.now+p.sessionMs) / 10
+		p.ends[end] = append(p.ends[end], ev.ID)
 		return true, 0
 	}
 	ev.Kind = PlacementRefused
-	a = w.g.Step(w.now, []Event{ev}, nil)[0]
-	w.shed[a.Reason]++
-	w.advice = append(w.advice, a.RetryAfterMs)
-	return false, a.RetryAfterMs
+	action = p.admission.Step(p.now, []Event{ev}, nil)[0]
+	p.refusals[action.Reason]++
+	p.retryAfterMs = append(p.retryAfterMs, action.RetryAfterMs)
+	return false, action.RetryAfterMs
 }
 
-func TestAllPassesWhileThereIsRoom(t *testing.T) {
-	w := newWorld(config(), 100, 1000)
-	for i := range 2000 { // 50 a second, all of the brand with the small share, all of one title
-		w.wait(20)
-		if ok, _ := w.ask(1, uint64(i), 7); !ok {
-			t.Fatalf("request %d refused with half of the room free: %v", i, w.shed)
+func TestAllAdmittedWhileThereIsCapacity(t *testing.T) {
+	p := newStreamPool(testConfig(), 100, 1000)
+	for i := range 2000 { // 50 a second, all of the tenant with the small share, all of one title
+		p.wait(20)
+		if ok, _ := p.request(1, uint64(i), 7); !ok {
+			t.Fatalf("request %d refused with half of the capacity free: %v", i, p.refusals)
 		}
 	}
-	if w.g.Weight() != 100 {
-		t.Errorf("weight %d", w.g.Weight())
+	if p.admission.Weight() != 100 {
+		t.Errorf("weight %d", p.admission.Weight())
 	}
 }
 
-// The brand within its share loses next to nothing while the other one floods with repeated tries, and the flood
-// has its own share all the same.
-func TestABrandWithinItsShareIsKept(t *testing.T) {
+// A tenant within its share loses next to nothing while the other one floods with retries, and the flooding tenant
+// still gets its own share.
+func TestTenantWithinItsShareIsProtected(t *testing.T) {
 	for _, flood := range []float64{100, 400, 1000} {
-		w := newWorld(config(), 40, 1000)
-		wish := uint64(0)
-		aAsked, aPlaced := 0, 0
+		p := newStreamPool(testConfig(), 40, 1000)
+		key := uint64(0)
+		requested, placed := 0, 0
 		for i := range 4000 { // 40 s in steps of 10 ms
-			w.wait(10)
-			if i%5 == 0 { // 20 a second of brand a, which may hold 30
-				wish++
-				ok, _ := w.ask(0, wish, wish%5)
+			p.wait(10)
+			if i%5 == 0 { // 20 a second of tenant a, which may hold 30
+				key++
+				ok, _ := p.request(0, key, key%5)
 				if i > 500 {
-					aAsked++
+					requested++
 					if ok {
-						aPlaced++
+						placed++
 					}
 				}
 			}
 			for k := range int(flood / 100) {
-				w.ask(1, 1e6+uint64(i*10+k), 3) // new viewers all the time
-				w.ask(1, 1e6+uint64(i%50), 3)   // and fifty that ask again and again
+				p.request(1, 1e6+uint64(i*10+k), 3) // new viewers all the time
+				p.request(1, 1e6+uint64(i%50), 3)   // and fifty that ask again and again
 			}
 		}
-		if lost := 1 - float64(aPlaced)/float64(aAsked); lost > 0.02 {
-			t.Errorf("flood of %v: brand a loses %.1f%% (%d of %d)", flood, 100*lost, aAsked-aPlaced, aAsked)
+		if refused := 1 - float64(placed)/float64(requested); refused > 0.02 {
+			t.Errorf("flood of %v: tenant a loses %.1f%% (%d of %d)", flood, 100*refused, requested-placed, requested)
 		}
-		if w.placed[1] < 10*40*8/10 {
-			t.Errorf("flood of %v: brand b has %d placements; it has a share too, and what a leaves", flood, w.placed[1])
+		if p.placed[1] < 10*40*8/10 {
+			t.Errorf("flood of %v: tenant b has %d placements; it has a share too, and what a leaves", flood, p.placed[1])
 		}
 	}
 }
 
-// What a brand does not hold is lent; when its owner comes, nothing is lent any more, and the owner has its part as
-// loans end.
-func TestLending(t *testing.T) {
-	w := newWorld(config(), 40, 1000)
-	wish := uint64(0)
-	one := func(brand int) bool { wish++; ok, _ := w.ask(brand, wish, wish%7); return ok }
+// Capacity that a tenant does not hold is lent. When its owner comes, lending stops, and the owner gets its share as
+// the borrowing sessions end.
+func TestBorrowing(t *testing.T) {
+	p := newStreamPool(testConfig(), 40, 1000)
+	key := uint64(0)
+	request := func(tenant int) bool { key++; ok, _ := p.request(tenant, key, key%7); return ok }
 	for i := range 2000 { // 20 s: b alone wants 60 a second
-		w.wait(10)
+		p.wait(10)
 		if i%5 != 0 {
-			one(1)
+			request(1)
 		}
 	}
-	alone := w.placed[1]
+	alone := p.placed[1]
 	if alone < 20*40*8/10 {
 		t.Fatalf("b alone gets %d of %d", alone, 20*40)
 	}
-	got := make([]int, 5)
-	for s := range 5 { // now a wants its 28 a second too
+	placed := make([]int, 5)
+	for second := range 5 { // now a wants its 28 a second too
 		for i := range 100 {
-			w.wait(10)
-			if i%25 < 7 && one(0) {
-				got[s]++
+			p.wait(10)
+			if i%25 < 7 && request(0) {
+				placed[second]++
 			}
-			one(1)
+			request(1)
 		}
 	}
-	if got[0] < 22 || got[1] < 24 || got[2] < 27 {
-		t.Errorf("a wants 28 a second and has, second by second, %v", got)
+	if placed[0] < 22 || placed[1] < 24 || placed[2] < 27 {
+		t.Errorf("a wants 28 a second and has, second by second, %v", placed)
 	}
 }
 
-// Two brands that ask for ten times what there is, in proportion to their shares, are left to the module.
-func TestARushOfAllIsNobodysFlood(t *testing.T) {
-	w := newWorld(config(), 40, 1000)
+// Two tenants that ask for ten times the capacity, in proportion to their shares, are left to the module.
+func TestRushOfAllTenantsIsLeftToTheModule(t *testing.T) {
+	p := newStreamPool(testConfig(), 40, 1000)
 	for i := range 2000 {
-		w.wait(10)
+		p.wait(10)
 		for k := range 4 {
-			w.ask(map[bool]int{true: 1}[k == 3], uint64(i*4+k), uint64(i%9))
+			p.request(map[bool]int{true: 1}[k == 3], uint64(i*4+k), uint64(i%9))
 		}
 	}
-	if w.shed[TenantOverShare] > 0 || w.shed[NoCapacity] == 0 {
-		t.Errorf("refused: %v", w.shed)
+	if p.refusals[TenantOverShare] > 0 || p.refusals[NoCapacity] == 0 {
+		t.Errorf("refused: %v", p.refusals)
 	}
 }
 
-// A brand that presses has its newcomers in at rungs at which more of them fit, never under the one that earns most
-// for a kB, and at full rungs again soon after.
-func TestAPressingBrandPacks(t *testing.T) {
-	w := newWorld(config(), 40, 1000)
-	tops, after := map[int]int{}, map[int]int{}
+// New sessions of a tenant that over-demands are admitted at rungs at which more of them fit, never below the one that
+// earns most per kB, and at full rungs again soon after.
+func TestOverDemandLowersRungs(t *testing.T) {
+	p := newStreamPool(testConfig(), 40, 1000)
+	duringFlood, after := map[int]int{}, map[int]int{}
 	for i := range 3000 {
-		w.wait(10)
+		p.wait(10)
 		if i%5 == 0 {
-			w.ask(0, uint64(i), uint64(i%5))
+			p.request(0, uint64(i), uint64(i%5))
 		}
 		if i < 2000 {
-			ev := Event{Kind: Request, ID: 1e7 + uint64(i), RequestKey: 1e7 + uint64(i), Tenant: 1, Class: 1, Copies: 1, MaxRung: 3}
-			a := w.g.Step(w.now, []Event{ev}, nil)[0]
-			w.ask(1, 1e6+uint64(i), 3)
-			if i > 1000 && a.Reason == Admitted {
-				tops[a.MaxRung]++
+			ev := Event{Kind: Request, ID: 1e7 + uint64(i), RequestKey: 1e7 + uint64(i), Tenant: 1, Class: 1, Copies: 1,
+				MaxRung: 3}
+			action := p.admission.Step(p.now, []Event{ev}, nil)[0]
+			p.request(1, 1e6+uint64(i), 3)
+			if i > 1000 && action.Reason == Admitted {
+				duringFlood[action.MaxRung]++
 			}
 		} else if i%50 == 0 {
-			ev := Event{Kind: Request, ID: 1e7 + uint64(i), RequestKey: 1e7 + uint64(i), Tenant: 1, Class: 1, Copies: 1, MaxRung: 3}
-			if a := w.g.Step(w.now, []Event{ev}, nil)[0]; i > 2500 && a.Reason == Admitted {
-				after[a.MaxRung]++
+			ev := Event{Kind: Request, ID: 1e7 + uint64(i), RequestKey: 1e7 + uint64(i), Tenant: 1, Class: 1, Copies: 1,
+				MaxRung: 3}
+			if action := p.admission.Step(p.now, []Event{ev}, nil)[0]; i > 2500 && action.Reason == Admitted {
+				after[action.MaxRung]++
 			}
 		}
 	}
-	if tops[0] > 0 || tops[1] == 0 {
-		t.Errorf("in the flood, by rung: %v", tops)
+	if duringFlood[0] > 0 || duringFlood[1] == 0 {
+		t.Errorf("in the flood, by rung: %v", duringFlood)
 	}
 	if len(after) != 1 || after[3] == 0 {
 		t.Errorf("long after it, by rung: %v", after)
 	}
 }
 
-// The room of a cell is what links, uplinks and places give it, over the directors; boxes that leave take theirs along.
-func TestFleetRooms(t *testing.T) {
-	f := CapacityEstimator{Cfg: headmill.Config{Cells: 2, Racks: 1, Fronts: 2, StreamsByKind: []int{50}, TotalLinkKB: 4000, UplinkKB: 2000}}
+// The capacity of a cell is what links, uplinks and streams give it, divided among the directors. Media nodes that
+// leave take theirs along.
+func TestCapacityEstimator(t *testing.T) {
+	e := CapacityEstimator{Cfg: headmill.Config{Cells: 2, Racks: 1, Fronts: 2, StreamsByKind: []int{50}, TotalLinkKB: 4000,
+		UplinkKB: 2000}}
 	two := []headmill.Node{{ID: 1, Cell: 0}, {ID: 2, Cell: 1}}
-	f.Rooms(nil) // lists that come before the boxes have reported say nothing of their size
-	f.Rooms(two[:1])
-	for _, r := range f.Rooms(two) { // an uplink of 2,000 under two links of 2,000
+	e.Rooms(nil) // lists that come before all media nodes have reported don't change their estimated size
+	e.Rooms(two[:1])
+	for _, r := range e.Rooms(two) { // an uplink of 2,000 under two links of 2,000
 		if math.Abs(r.RateKB-1000*headmill.MaxSetupLoad/2) > 1e-9 || r.Streams != 25 {
 			t.Errorf("%+v", r)
 		}
 	}
 	two[1].Health = headmill.Draining
-	if r := f.Rooms(two); math.Abs(r[0].RateKB-2000*headmill.MaxSetupLoad/2) > 1e-9 || r[1] != (Capacity{}) {
+	if r := e.Rooms(two); math.Abs(r[0].RateKB-2000*headmill.MaxSetupLoad/2) > 1e-9 || r[1] != (Capacity{}) {
 		t.Errorf("one drains: %+v", r)
 	}
-	if r := f.Rooms(two[:1]); math.Abs(r[0].RateKB-2000*headmill.MaxSetupLoad/2) > 1e-9 {
+	if r := e.Rooms(two[:1]); math.Abs(r[0].RateKB-2000*headmill.MaxSetupLoad/2) > 1e-9 {
 		t.Errorf("one is gone: %+v", r)
 	}
-	f = CapacityEstimator{Cfg: headmill.Config{Cells: 1, WeightsKnown: true, LinkKBPerWeight: 100}}
-	if r := f.Rooms([]headmill.Node{{Weight: 3}}); math.Abs(r[0].RateKB-300*headmill.MaxSetupLoad) > 1e-9 || r[0].Streams != 0 {
+	e = CapacityEstimator{Cfg: headmill.Config{Cells: 1, WeightsKnown: true, LinkKBPerWeight: 100}}
+	if r := e.Rooms([]headmill.Node{{Weight: 3}}); math.Abs(r[0].RateKB-300*headmill.MaxSetupLoad) > 1e-9 ||
+		r[0].Streams != 0 {
 		t.Errorf("by weight: %+v", r)
 	}
 }
 
-// A brand that asked once, long ago, and holds nothing takes nothing from the others: they are left to the module.
-func TestAnAbsentBrandHoldsNobodyBack(t *testing.T) {
-	w := newWorld(config(), 40, 1000)
-	w.ask(0, 1, 1)
+// A tenant that asked once, long ago, and holds nothing does not limit the others: they are left to the module.
+func TestAbsentTenantDoesNotLimitOthers(t *testing.T) {
+	p := newStreamPool(testConfig(), 40, 1000)
+	p.request(0, 1, 1)
 	for i := range 4000 {
-		w.wait(10)
-		w.ask(1, uint64(100+i), uint64(i%7))
+		p.wait(10)
+		p.request(1, uint64(100+i), uint64(i%7))
 		if i == 2000 {
-			w.shed = map[Reason]int{}
+			p.refusals = map[Reason]int{}
 		}
 	}
-	if w.shed[TenantOverShare] > 0 || w.shed[NoCapacity] == 0 {
-		t.Errorf("refused: %v", w.shed)
+	if p.refusals[TenantOverShare] > 0 || p.refusals[NoCapacity] == 0 {
+		t.Errorf("refused: %v", p.refusals)
 	}
 }
 
-func TestTitlesOfABrand(t *testing.T) {
-	w := newWorld(config(), 20, 1000)
+// A title that asks for everything does not starve the other titles of its tenant.
+func TestTitlesOfATenant(t *testing.T) {
+	p := newStreamPool(testConfig(), 20, 1000)
 	placed := map[uint64]int{}
-	wish := uint64(0)
+	key := uint64(0)
 	for i := range 3000 { // 30 s: title 1 wants 100 a second, title 2 and 3 want 5 each
-		w.wait(10)
-		ask := func(title uint64) {
-			wish++
-			if ok, _ := w.ask(0, wish, title); ok && i > 500 {
+		p.wait(10)
+		request := func(title uint64) {
+			key++
+			if ok, _ := p.request(0, key, title); ok && i > 500 {
 				placed[title]++
 			}
 		}
 		if i%20 == 0 {
-			ask(2)
-			ask(3)
+			request(2)
+			request(3)
 		}
-		ask(1)
+		request(1)
 	}
 	for _, title := range []uint64{2, 3} {
 		if want := 25 * 5; placed[title] < want*8/10 {
@@ -284,66 +299,68 @@
 	}
 }
 
-// First tries go before repeated ones while not all fit: 16 first tries a second in bursts find room of 20, though
-// hundreds that were refused in a rush come again all the time.
-func TestFirstTriesGoFirst(t *testing.T) {
-	w := newWorld(Config{MaxRetryAfterMs: 1000, RetryMemoryMs: 1e5, MaxRefusals: 10000, PropagationMs: 200, OthersShare: 1}, 20, 1000)
-	var pool []uint64 // refused, they come again
-	first, firstOK, again, againOK := 0, 0, 0, 0
-	ask := func(wish uint64) bool {
-		ok, _ := w.ask(0, wish, wish%5)
+// First requests go before retries while not all fit: 16 first requests a second in bursts find capacity for 20, though
+// hundreds of viewers that were refused in a rush come again all the time.
+func TestFirstRequestsGoBeforeRetries(t *testing.T) {
+	p := newStreamPool(Config{MaxRetryAfterMs: 1000, RetryMemoryMs: 1e5, MaxRefusals: 10000, PropagationMs: 200,
+		OthersShare: 1}, 20, 1000)
+	var refused []uint64 // keys of refused requests, which come again
+	firsts, firstsPlaced, retries, retriesPlaced := 0, 0, 0, 0
+	request := func(key uint64) bool {
+		ok, _ := p.request(0, key, key%5)
 		if !ok {
-			pool = append(pool, wish)
+			refused = append(refused, key)
 		}
 		return ok
 	}
 	for i := range 3000 {
-		w.wait(10)
+		p.wait(10)
 		if i < 100 {
 			for k := range 6 {
-				ask(1e6 + uint64(i*6+k))
+				request(1e6 + uint64(i*6+k))
 			}
 		}
 		if i%50 < 8 {
-			ok := ask(uint64(i))
+			ok := request(uint64(i))
 			if i > 500 {
-				if first++; ok {
-					firstOK++
+				if firsts++; ok {
+					firstsPlaced++
 				}
 			}
 		}
-		if len(pool) > 0 {
-			wish := pool[0]
-			pool = pool[1:]
+		if len(refused) > 0 {
+			key := refused[0]
+			refused = refused[1:]
 			if i > 500 {
-				again++
+				retries++
 			}
-			if ask(wish) && i > 500 {
-				againOK++
+			if request(key) && i > 500 {
+				retriesPlaced++
 			}
 		}
 	}
-	if f, a := float64(firstOK)/float64(first), float64(againOK)/float64(again); f < 0.9 || a > 0.2 || againOK == 0 {
-		t.Errorf("first tries %.2f, repeated ones %.2f (%d) let in", f, a, againOK)
+	if f, r := float64(firstsPlaced)/float64(firsts), float64(retriesPlaced)/float64(retries); f < 0.9 || r > 0.2 ||
+		retriesPlaced == 0 {
+		t.Errorf("first requests %.2f, retries %.2f (%d) admitted", f, r, retriesPlaced)
 	}
 }
 
-// After a rush the wave of returns is lower than the rush, where viewers follow the advice.
-func TestReturnWave(t *testing.T) {
-	run := func(pass bool) (peak int) {
-		cfg := config()
-		cfg.AdmitAll, cfg.Tenants = pass, nil
-		w := newWorld(cfg, 40, 1000)
-		due := map[int][]uint64{} // returns by step of 10 ms
+// After a rush the wave of retries is lower than the rush, if viewers follow the retry advice.
+func TestRetryWave(t *testing.T) {
+	run := func(admitAll bool) (peak int) {
+		cfg := testConfig()
+		cfg.AdmitAll, cfg.Tenants = admitAll, nil
+		p := newStreamPool(cfg, 40, 1000)
+		due := map[int][]uint64{} // retries by step of 10 ms
 		rng := rand.New(rand.NewPCG(3, 3))
-		perS := map[int]int{}
-		wish := uint64(0)
+		retriesBySecond := map[int]int{}
+		nextKey := uint64(0)
 		for i := range 4000 {
-			w.wait(10)
-			ask := func(id uint64) {
-				if ok, after := w.ask(0, id, id%9); !ok && rng.Float64() < 0.9 {
+			p.wait(10)
+			request := func(key uint64) {
+				if ok, after := p.request(0, key, key%9); !ok && rng.Float64() < 0.9 {
 					at := i + max(int(after/10), 1)
-					due[at] = append(due[at], id)
+					due[at] = append(due[at], key)
 				}
 			}
 			rate := 30
@@ -351,16 +368,16 @@
 				rate = 300
 			}
 			for range rate/100 + map[bool]int{true: 1}[rng.IntN(100) < rate%100] {
-				wish++
-				ask(wish)
+				nextKey++
+				request(nextKey)
 			}
-			for _, id := range due[i] {
-				perS[i/100]++
-				ask(id)
+			for _, key := range due[i] {
+				retriesBySecond[i/100]++
+				request(key)
 			}
 		}
-		for s, n := range perS {
-			if s >= 8 {
+		for second, n := range retriesBySecond {
+			if second >= 8 {
 				peak = max(peak, n)
 			}
 		}
@@ -368,15 +385,15 @@
 	}
 	with, without := run(false), run(true)
 	if with >= 300 || with*2 > without {
-		t.Errorf("the wave of returns is %d a second after a rush of 300; with advice of one length it is %d", with, without)
+		t.Errorf("the wave of retries is %d a second after a rush of 300; with advice of one length it is %d", with, without)
 	}
 }
 
 func TestOverloadShedsByWorth(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	for name, c := range map[string]struct {
 		ev   Event
-		want []bool // shed: free repeated, free first, paid repeated, paid first
+		want []bool // shed: free retry, free first request, paid retry, paid first request
 	}{
 		"calm":          {Event{LagMs: 70, Queue: 700}, []bool{false, false, false, false}},
 		"lag":           {Event{LagMs: 85}, []bool{true, false, false, false}},
@@ -384,105 +401,115 @@
 		"memory":        {Event{MemoryBytes: 1.2e9}, []bool{true, true, true, false}},
 		"beyond it all": {Event{LagMs: 300}, []bool{true, true, true, true}},
 	} {
-		g := New(cfg, 1)
+		a := New(cfg, 1)
 		c.ev.Kind = LoadMeasured
-		g.Step(0, []Event{{Kind: PlacementRefused, RequestKey: 1}, {Kind: PlacementRefused, RequestKey: 2}, c.ev}, nil)
+		a.Step(0, []Event{{Kind: PlacementRefused, RequestKey: 1}, {Kind: PlacementRefused, RequestKey: 2}, c.ev}, nil)
 		for i, class := range []int{1, 1, 0, 0} {
-			wish := uint64(1 + i/2)
+			key := uint64(1 + i/2)
 			if i%2 == 1 {
-				wish = 100 + uint64(i)
+				key = 100 + uint64(i)
 			}
-			a := g.Step(0, []Event{{Kind: Request, RequestKey: wish, Class: class}}, nil)[0]
-			if (a.Reason == DirectorOverloaded) != c.want[i] {
-				t.Errorf("%s, request %d: %s at severity %.2f", name, i, a.Reason, g.Load())
+			action := a.Step(0, []Event{{Kind: Request, RequestKey: key, Class: class}}, nil)[0]
+			if (action.Reason == DirectorOverloaded) != c.want[i] {
+				t.Errorf("%s, request %d: %s at load %.2f", name, i, action.Reason, a.Load())
 			}
-			if a.Reason == DirectorOverloaded && a.RetryAfterMs < cfg.MinRetryAfterMs {
-				t.Errorf("%s: advice %v", name, a.RetryAfterMs)
+			if action.Reason == DirectorOverloaded && action.RetryAfterMs < cfg.MinRetryAfterMs {
+				t.Errorf("%s: retry after %v ms", name, action.RetryAfterMs)
 			}
 		}
 	}
-	// A rise is believed at once, a fall slowly; the weight follows.
-	g := New(cfg, 1)
-	g.Step(0, []Event{{Kind: LoadMeasured, LagMs: 95}}, nil)
-	high := g.Weight()
-	g.Step(250, []Event{{Kind: LoadMeasured}}, nil)
-	if g.Load() < 0.6 || high > 20 || g.Weight() <= high {
-		t.Errorf("severity %.2f, weight %d then %d", g.Load(), high, g.Weight())
+	// The load follows a rise at once and a fall slowly; the weight follows the load.
+	a := New(cfg, 1)
+	a.Step(0, []Event{{Kind: LoadMeasured, LagMs: 95}}, nil)
+	overloaded := a.Weight()
+	a.Step(250, []Event{{Kind: LoadMeasured}}, nil)
+	if a.Load() < 0.6 || overloaded > 20 || a.Weight() <= overloaded {
+		t.Errorf("load %.2f, weight %d then %d", a.Load(), overloaded, a.Weight())
 	}
 	for i := range 40 {
-		g.Step(250*float64(i+2), []Event{{Kind: LoadMeasured}}, nil)
+		a.Step(250*float64(i+2), []Event{{Kind: LoadMeasured}}, nil)
 	}
-	if g.Weight() != 100 {
-		t.Errorf("weight %d long after", g.Weight())
+	if a.Weight() != 100 {
+		t.Errorf("weight %d long after", a.Weight())
 	}
 }
 
-func TestPassAll(t *testing.T) {
-	cfg := config()
+func TestAdmitAll(t *testing.T) {
+	cfg := testConfig()
 	cfg.AdmitAll = true
-	w := newWorld(cfg, 1, 1000)
-	w.g.Step(0, []Event{{Kind: LoadMeasured, LagMs: 1e6}}, nil)
+	p := newStreamPool(cfg, 1, 1000)
+	p.admission.Step(0, []Event{{Kind: LoadMeasured, LagMs: 1e6}}, nil)
 	for i := range 100 {
-		w.ask(0, uint64(i), 1)
+		p.request(0, uint64(i), 1)
 	}
-	if len(w.shed) != 1 || w.shed[NoCapacity] == 0 {
-		t.Errorf("set to pass all, it sheds %v", w.shed)
+	if len(p.refusals) != 1 || p.refusals[NoCapacity] == 0 {
+		t.Errorf("with AdmitAll it refuses %v", p.refusals)
 	}
 }
 
-func TestChangedShares(t *testing.T) {
-	g := New(config(), 1)
-	g.SetTenants([]Tenant{{Name: "b", Share: 1}, {Name: "c", Share: 1}, {Name: "rest"}})
+func TestSetTenants(t *testing.T) {
+	a := New(testConfig(), 1)
+	a.SetTenants([]Tenant{{Name: "b", Share: 1}, {Name: "c", Share: 1}, {Name: "rest"}})
 	for name, want := range map[string]int{"b": 0, "c": 1, "a": 2, "": 2} {
-		if got := g.TenantIndex(name); got != want {
-			t.Errorf("%q is brand %d, want %d", name, got, want)
+		if got := a.TenantIndex(name); got != want {
+			t.Errorf("%q is tenant %d, want %d", name, got, want)
 		}
 	}
-	if g.brands[0].part != 0.5 || g.brands[2].part != 0 {
-		t.Errorf("parts %v %v", g.brands[0].part, g.brands[2].part)
+	if a.tenants[0].normalizedShare != 0.5 || a.tenants[2].normalizedShare != 0 {
+		t.Errorf("shares %v %v", a.tenants[0].normalizedShare, a.tenants[2].normalizedShare)
 	}
-	for _, ev := range []Event{{Kind: Request, Tenant: -1}, {Kind: Request, Tenant: 99}, {Kind: PlacementRefused, Tenant: 99, Class: 99}} { // from before the change
-		g.Step(1, []Event{ev}, nil)
+	// Events with an index from before the change.
+	for _, ev := range []Event{{Kind: Request, Tenant: -1}, {Kind: Request, Tenant: 99},
+		{Kind: PlacementRefused, Tenant: 99, Class: 99}} {
+		a.Step(1, []Event{ev}, nil)
 	}
 }
 
-// Whatever comes: parts add up to 1, what is booked is what sessions hold, no brand passes its cap, rungs, room to
-// be left free, advice and tables stay in their bounds, and every request has one decision.
+// For all sequences of events: shares add up to 1, what is booked is what sessions hold, no tenant exceeds its
+// MaxShare, rungs, headroom, retry advice and tables stay within their bounds, and every request gets one decision.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 4).Draw(t, "brands")
-		cfg := Config{Classes: []Class{{Value: 1, RateScale: 1, MaxRung: 2}, {Value: 3, RateScale: 2, MinRung: 1, MaxRung: 2}}, RateKB: []float64{1, 2, 4},
-			RungWorth: []float64{1, 1.5, 2}, PropagationMs: 500, OthersShare: 0.5, MinRetryAfterMs: 100, MaxRetryAfterMs: 5000, RetryMemoryMs: 5000, MaxRefusals: 20, FullLagMs: 100}
-		brands := func() (out []Tenant) {
+		n := rapid.IntRange(1, 4).Draw(t, "tenants")
+		cfg := Config{
+			Classes: []Class{{Value: 1, RateScale: 1, MaxRung: 2}, {Value: 3, RateScale: 2, MinRung: 1, MaxRung: 2}},
+			RateKB:  []float64{1, 2, 4}, RungWorth: []float64{1, 1.5, 2}, PropagationMs: 500, OthersShare: 0.5,
+			MinRetryAfterMs: 100, MaxRetryAfterMs: 5000, RetryMemoryMs: 5000, MaxRefusals: 20, FullLagMs: 100}
+		tenants := func() (out []Tenant) {
 			for i := range n {
 				out = append(out, Tenant{Name: string(rune('a' + i)), Share: float64(rapid.IntRange(0, 5).Draw(t, "share")),
-					MaxShare: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "most")})
+					MaxShare: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "max share")})
 			}
 			return out
 		}
-		cfg.Tenants = brands()
-		g := New(cfg, 1)
+		cfg.Tenants = tenants()
+		a := New(cfg, 1)
 		now := 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += float64(rapid.IntRange(0, 300).Draw(t, "ms"))
-			ev := Event{ID: uint64(rapid.IntRange(0, 30).Draw(t, "id")), RequestKey: uint64(rapid.IntRange(0, 40).Draw(t, "wish")),
-				Class: rapid.IntRange(0, 2).Draw(t, "class"), Tenant: rapid.IntRange(0, n).Draw(t, "brand"),
-				Title: uint64(rapid.IntRange(0, 3).Draw(t, "title")), FirstCell: rapid.IntRange(0, 3).Draw(t, "home"),
-				Copies: rapid.IntRange(0, 4).Draw(t, "copies"), MaxRung: rapid.IntRange(0, 3).Draw(t, "top")}
-			ev.Kind = rapid.SampledFrom([]EventKind{Request, Request, Request, SetupStarted, SetupStarted, SessionStarted, SessionEnded, PlacementRefused, CapacityChanged, LoadMeasured}).Draw(t, "kind")
+			ev := Event{ID: uint64(rapid.IntRange(0, 30).Draw(t, "id")),
+				RequestKey: uint64(rapid.IntRange(0, 40).Draw(t, "key")),
+				Class:      rapid.IntRange(0, 2).Draw(t, "class"), Tenant: rapid.IntRange(0, n).Draw(t, "tenant"),
+				Title: uint64(rapid.IntRange(0, 3).Draw(t, "title")), FirstCell: rapid.IntRange(0, 3).Draw(t, "first cell"),
+				Copies: rapid.IntRange(0, 4).Draw(t, "copies"), MaxRung: rapid.IntRange(0, 3).Draw(t, "max rung")}
+			ev.Kind = rapid.SampledFrom([]EventKind{Request, Request, Request, SetupStarted, SetupStarted, SessionStarted,
+				SessionEnded, PlacementRefused, CapacityChanged, LoadMeasured}).Draw(t, "kind")
 			ev.LagMs = float64(rapid.IntRange(0, 60).Draw(t, "lag"))
 			if ev.Kind == CapacityChanged {
 				for range rapid.IntRange(0, 4).Draw(t, "cells") {
-					ev.Capacity = append(ev.Capacity, Capacity{RateKB: float64(rapid.IntRange(0, 20).Draw(t, "kb")), Streams: float64(rapid.IntRange(0, 5).Draw(t, "seats"))})
+					ev.Capacity = append(ev.Capacity, Capacity{RateKB: float64(rapid.IntRange(0, 20).Draw(t, "kb")),
+						Streams: float64(rapid.IntRange(0, 5).Draw(t, "streams"))})
 				}
 			}
 			if rapid.IntRange(0, 40).Draw(t, "reload") == 0 {
-				g.SetTenants(brands())
-			}
-			b := g.brand(ev.Tenant)
-			var held, whole Capacity
-			g.spread(ev.FirstCell, max(ev.Copies, 1), func(c int) { held.add(b.held[c], 1); whole.add(g.rooms[c], 1) })
-			out := g.Step(now, []Event{ev}, nil)
+				a.SetTenants(tenants())
+			}
+			tenant := a.tenant(ev.Tenant)
+			var held, available Capacity
+			a.forEachCell(ev.FirstCell, max(ev.Copies, 1), func(cell int) {
+				held.add(tenant.heldByCell[cell], 1)
+				available.add(a.cells[cell], 1)
+			})
+			out := a.Step(now, []Event{ev}, nil)
 			want := 0
 			if ev.Kind == Request || ev.Kind == PlacementRefused {
 				want = 1
@@ -490,103 +517,105 @@
 			if len(out) != want {
 				t.Fatalf("%d decisions for one event", len(out))
 			}
-			if want == 1 && out[0].Reason != Admitted && (out[0].RetryAfterMs < cfg.MinRetryAfterMs || out[0].RetryAfterMs > cfg.MaxRetryAfterMs) {
-				t.Fatalf("advice %v", out[0].RetryAfterMs)
+			if want == 1 && out[0].Reason != Admitted &&
+				(out[0].RetryAfterMs < cfg.MinRetryAfterMs || out[0].RetryAfterMs > cfg.MaxRetryAfterMs) {
+				t.Fatalf("retry after %v ms", out[0].RetryAfterMs)
 			}
 			if ev.Kind == Request && out[0].Reason == Admitted {
-				a := out[0]
-				if a.Headroom < 0 || a.Headroom > mostSpare || a.MaxRung > ev.MaxRung || a.MaxRung < min(ev.MaxRung, cfg.Classes[min(ev.Class, 1)].MinRung) {
-					t.Fatalf("%+v for a viewer's rung %d", a, ev.MaxRung)
+				action := out[0]
+				if action.Headroom < 0 || action.Headroom > maxHeadroom || action.MaxRung > ev.MaxRung ||
+					action.MaxRung < min(ev.MaxRung, cfg.Classes[min(ev.Class, 1)].MinRung) {
+					t.Fatalf("%+v for a viewer's rung %d", action, ev.MaxRung)
 				}
-				if b.MaxShare > 0 && n > 1 && held.part(whole) >= b.MaxShare+1e-9 {
-					t.Fatalf("brand let in with %v of %v where %v is the most", held, whole, b.MaxShare)
+				if tenant.MaxShare > 0 && n > 1 && held.dominantShare(available) >= tenant.MaxShare+1e-9 {
+					t.Fatalf("tenant admitted with %v of %v, over its maximum share of %v", held, available, tenant.MaxShare)
 				}
 			}
-			sum, all, booked := 0.0, 0.0, 0.0
-			for _, b := range g.brands {
-				sum += b.part
-				for _, r := range b.held {
-					all += r.Streams
+			shares, heldStreams, sessions := 0.0, 0.0, 0.0
+			for _, tenant := range a.tenants {
+				shares += tenant.normalizedShare
+				for _, cell := range tenant.heldByCell {
+					heldStreams += cell.Streams
 				}
 				n := 0
-				for _, h := range g.holds {
-					if h.b == b {
+				for _, h := range a.holdings {
+					if h.tenant == tenant {
 						n++
 					}
 				}
-				if n != b.holding {
-					t.Fatalf("%d sessions booked, %d held", b.holding, n)
+				if n != tenant.sessionCount {
+					t.Fatalf("%d sessions counted, %d held", tenant.sessionCount, n)
 				}
-				if b.fit <= 0 || b.fit > 1 {
-					t.Fatalf("fit %v", b.fit)
+				if tenant.rateFactor <= 0 || tenant.rateFactor > 1 {
+					t.Fatalf("rate factor %v", tenant.rateFactor)
 				}
 			}
-			for range g.holds {
-				booked++
+			for range a.holdings {
+				sessions++
 			}
-			if len(g.rooms) == 0 {
-				booked = 0
+			if len(a.cells) == 0 {
+				sessions = 0
 			}
-			if math.Abs(sum-1) > 1e-9 || math.Abs(all-booked) > 1e-9 {
-				t.Fatalf("parts add up to %v; %v booked, %v held", sum, booked, all)
+			if math.Abs(shares-1) > 1e-9 || math.Abs(heldStreams-sessions) > 1e-9 {
+				t.Fatalf("shares add up to %v; %v sessions, %v held", shares, sessions, heldStreams)
 			}
-			if g.RememberedRefusals() > cfg.MaxRefusals+1 {
-				t.Fatalf("%d wishes remembered", g.RememberedRefusals())
+			if a.RememberedRefusals() > cfg.MaxRefusals+1 {
+				t.Fatalf("%d refused requests remembered", a.RememberedRefusals())
 			}
-			if w := g.Weight(); w < 1 || w > 100 {
+			if w := a.Weight(); w < 1 || w > 100 {
 				t.Fatalf("weight %d", w)
 			}
-			for _, s := range g.returns.slots {
-				if s < 0 {
-					t.Fatal("a slot with less than no returns")
+			for _, expected := range a.retries.slots {
+				if expected < 0 {
+					t.Fatal("a slot of the retry schedule is negative")
 				}
 			}
 		}
 	})
 }
 
-func TestAccounts(t *testing.T) {
-	var a Quotas
-	a.SetLimit(Sessions, 10)
-	if !a.Acquire(Sessions, 10) || a.Acquire(Sessions, 1) || a.Usage(Sessions).Denied != 1 {
-		t.Errorf("%+v", a.Usage(Sessions))
+func TestQuotasAndRateLimiter(t *testing.T) {
+	var q Quotas
+	q.SetLimit(Sessions, 10)
+	if !q.Acquire(Sessions, 10) || q.Acquire(Sessions, 1) || q.Usage(Sessions).Denied != 1 {
+		t.Errorf("%+v", q.Usage(Sessions))
 	}
-	a.SetLimit(Sessions, 4) // below what is in use: nothing is taken away, nothing new comes in
-	a.Release(Sessions, 5)
-	if a.Acquire(Sessions, 1) || a.Usage(Sessions).Used != 5 {
-		t.Errorf("%+v", a.Usage(Sessions))
+	q.SetLimit(Sessions, 4) // below the usage: nothing is taken away, nothing new is granted
+	q.Release(Sessions, 5)
+	if q.Acquire(Sessions, 1) || q.Usage(Sessions).Used != 5 {
+		t.Errorf("%+v", q.Usage(Sessions))
 	}
-	a.Release(Sessions, 3)
-	if !a.Acquire(Sessions, 2) || a.Usage(Sessions).Peak != 10 {
-		t.Errorf("%+v", a.Usage(Sessions))
+	q.Release(Sessions, 3)
+	if !q.Acquire(Sessions, 2) || q.Usage(Sessions).Peak != 10 {
+		t.Errorf("%+v", q.Usage(Sessions))
 	}
-	a.Release(Sessions, 100)
-	if a.Usage(Sessions).Used != 0 || a.Acquire(Sessions, -1) {
-		t.Errorf("%+v", a.Usage(Sessions))
+	q.Release(Sessions, 100)
+	if q.Usage(Sessions).Used != 0 || q.Acquire(Sessions, -1) {
+		t.Errorf("%+v", q.Usage(Sessions))
 	}
-	if !a.Acquire(Reports, 1<<40) || a.MaxUtilization() != 0 { // no cap
-		t.Errorf("%+v, fullest %v", a.Usage(Reports), a.MaxUtilization())
+	if !q.Acquire(Reports, 1<<40) || q.MaxUtilization() != 0 { // no limit
+		t.Errorf("%+v, utilization %v", q.Usage(Reports), q.MaxUtilization())
 	}
-	a.SetLimit(Outgoing, 100)
-	if a.SetUsed(Outgoing, 101) || !a.SetUsed(Outgoing, 50) || a.MaxUtilization() != 0.5 {
-		t.Errorf("%+v", a.Usage(Outgoing))
+	q.SetLimit(Outgoing, 100)
+	if q.SetUsed(Outgoing, 101) || !q.SetUsed(Outgoing, 50) || q.MaxUtilization() != 0.5 {
+		t.Errorf("%+v", q.Usage(Outgoing))
 	}
-	if a.Fits(Sessions, 5) || !a.Fits(Sessions, 4) {
-		t.Errorf("%+v", a.Usage(Sessions))
+	if q.Fits(Sessions, 5) || !q.Fits(Sessions, 4) {
+		t.Errorf("%+v", q.Usage(Sessions))
 	}
-	m := RateLimiter{RatePerMs: 0.01, Burst: 3}
-	passed := 0
+	limiter := RateLimiter{RatePerMs: 0.01, Burst: 3}
+	allowed := 0
 	for i := range 1000 { // a second of one a ms: the burst and ten more
-		if m.Allow(float64(i)) {
-			passed++
+		if limiter.Allow(float64(i)) {
+			allowed++
 		}
 	}
-	if passed < 12 || passed > 13 {
-		t.Errorf("%d passed a meter of ten a second with a burst of three", passed)
+	if allowed < 12 || allowed > 13 {
+		t.Errorf("%d allowed by a limiter of ten a second with a burst of three", allowed)
 	}
-	for _, p := range Resources() {
-		if p.String() == "" {
-			t.Error(p)
+	for _, r := range Resources() {
+		if r.String() == "" {
+			t.Error(r)
 		}
 	}
 }
