--- /dev/null
+++ b/decide/health/health.go
@@ -0,0 +1,336 @@
+// Package health decides which of a director's sessions are lost with a media
+// node, and which sessions on a media node belong to nobody. The director keeps
+// one notification stream to each media node where it has sessions. The
+// evidence is a stream that is silent or fails, and the list of sessions that
+// the media node sends when the stream is opened again.
+//
+// The package is pure: Step takes events with their time and returns actions.
+// The numbers of media nodes and sessions are the caller's.
+//
+// States of a media node:
+//
+//	state    meaning
+//	idle     no session there; no stream is kept
+//	opening  the stream was requested
+//	up       the stream is open; every byte proves that the media node lives
+//	broken   the stream ended or went silent; sessions are kept while it is retried
+//	down     ("lost" in texts) not heard for NodeTimeoutMs, or refused again and again; its sessions were given up
+//
+// What each event does (of an unknown media node only SetupSent and SessionStarted count, as in idle):
+//
+//	SetupSent       idle, down: opens the stream (to opening); in every state the set-up is pending
+//	SessionStarted  idle, down: opens the stream (to opening); in every state a proof of life
+//	SessionEnded    removes the session or its set-up; without any left the media node is unused
+//	StreamOpened    opening: compares the sessions, reports lost ones and orphans (to up); else ignored
+//	StreamActivity  up: a proof of life; else ignored
+//	StreamFailed    opening, up: schedules a retry with exponential backoff (to broken, if unused to idle); else ignored
+//	Tick            opening: after OpenTimeoutMs closes the stream (to broken, if unused to idle)
+//	                up: after StreamTimeoutMs of silence closes the stream (to broken, if unused to idle); after
+//	                IdleTimeoutMs without use closes it (to idle)
+//	                opening, broken: gives up the sessions of a media node that is not heard (to down)
+//	                broken: opens the stream again when the retry is due (to opening, if unused to idle)
+//	                down: opens the stream if a set-up is pending (to opening)
+//	                idle, down: forgets a media node that is long unused
+package health
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// NodeID and SessionID are the caller's numbers.
+type (
+	NodeID    uint64
+	SessionID uint32
+)
+
+// EventKind tells which fields of an Event are set.
+type EventKind uint8
+
+// The kinds of events.
+const (
+	SetupSent      EventKind = iota // Node, Session: a set-up is sent there
+	SessionStarted                  // Node, Session: it plays there
+	SessionEnded                    // Node, Session: it ended, or its set-up failed
+	StreamOpened                    // Node, BootID, Sessions: the stream is open; what the node runs for this director
+	StreamActivity                  // Node: bytes on the stream
+	StreamFailed                    // Node, ConnRefused: the stream ended, or could not be opened
+	Tick                            // only time passes
+)
+
+// Event is one fact.
+type Event struct {
+	Kind        EventKind
+	Node        NodeID
+	Session     SessionID
+	BootID      string
+	Sessions    []SessionID
+	ConnRefused bool // the host of the media node answered that nothing listens there
+}
+
+// ActionKind tells which fields of an Action are set.
+type ActionKind uint8
+
+// The kinds of actions.
+const (
+	OpenStream  ActionKind = iota // Node: open its notification stream
+	CloseStream                   // Node: close it
+	SessionLost                   // Node, Session: the session is lost
+	EndOrphan                     // Node, Session: end a session that runs for this director, which does not know it
+	NodeDown                      // Node, Count: for the log; the number of sessions that are given up
+)
+
+// Action is one thing to do.
+type Action struct {
+	Kind    ActionKind
+	Node    NodeID
+	Session SessionID
+	Count   int
+}
+
+// Config has the timeouts, in ms.
+type Config struct {
+	StreamTimeoutMs float64 // a stream without a byte for so long counts as broken
+	NodeTimeoutMs   float64 // a media node that is not heard for so long has lost its sessions
+	MinRetryMs      float64 // first delay between attempts to open the stream; doubles up to MaxRetryMs
+	MaxRetryMs      float64
+	IdleTimeoutMs   float64 // a stream without sessions is closed after so long
+	OpenTimeoutMs   float64 // a stream that is not open after so long counts as broken
+}
+
+// State is the state of a media node.
+type State uint8
+
+// The states; see the package comment.
+const (
+	StateIdle State = iota
+	StateOpening
+	StateUp
+	StateBroken
+	StateDown
+)
+
+var stateNames = [...]string{"idle", "opening", "up", "broken", "lost"}
+
+func (s State) String() string { return stateNames[s] }
+
+// nodeState is what is known of one media node.
+type nodeState struct {
+	id                  NodeID
+	state               State
+	bootID              string
+	pendingSetups       map[SessionID]bool    // set-ups sent and not answered
+	sessions            map[SessionID]float64 // sessions that play, and since when
+	openedAt            float64               // when the stream was requested
+	lastHeardAt         float64               // last proof of life
+	retryAt             float64               // when to open the stream again
+	retryDelayMs        float64
+	consecutiveRefusals int     // connections refused in a row: the process is gone, and with it what it ran
+	unusedSince         float64 // since when there are no sessions and no pending set-ups
+}
+
+// Monitor is the state of all media nodes.
+type Monitor struct {
+	cfg         Config
+	now         float64
+	out         []Action
+	nodes       map[NodeID]*nodeState
+	sortedNodes []*nodeState // by id
+}
+
+// refusalsUntilDown is how many refused connections in a row mean that no process listens there any more. A single
+// one may come from a listener that is just being replaced.
+const refusalsUntilDown = 2
+
+// New makes a Monitor without media nodes.
+func New(cfg Config) *Monitor { return &Monitor{cfg: cfg, nodes: map[NodeID]*nodeState{}} }
+
+// State returns the state of a media node.
+func (m *Monitor) State(id NodeID) State {
+	if node := m.nodes[id]; node != nil {
+		return node.state
+	}
+	return StateIdle
+}
+
+// Sessions is the number of sessions that play on a media node.
+func (m *Monitor) Sessions(id NodeID) int {
+	if node := m.nodes[id]; node != nil {
+		return len(node.sessions)
+	}
+	return 0
+}
+
+// Step takes the events of one moment and appends the actions to out.
+func (m *Monitor) Step(now float64, events []Event, out []Action) []Action {
+	m.now, m.out = now, out
+	for i := range events {
+		ev := &events[i]
+		if ev.Kind == Tick {
+			m.checkTimeouts()
+			continue
+		}
+		node := m.nodes[ev.Node]
+		if node == nil {
+			if ev.Kind != SetupSent && ev.Kind != SessionStarted {
+				continue
+			}
+			node = &nodeState{id: ev.Node, pendingSetups: map[SessionID]bool{}, sessions: map[SessionID]float64{}}
+			m.nodes[ev.Node] = node
+			i, _ := slices.BinarySearchFunc(m.sortedNodes, node, func(a, b *nodeState) int { return cmp.Compare(a.id, b.id) })
+			m.sortedNodes = slices.Insert(m.sortedNodes, i, node)
+		}
+		m.handleEvent(node, ev)
+	}
+	out, m.out = m.out, nil
+	return out
+}
+
+// handleEvent applies an event to its media node; the package comment has the table.
+func (m *Monitor) handleEvent(node *nodeState, ev *Event) {
+	switch ev.Kind {
+	case SetupSent:
+		node.pendingSetups[ev.Session] = true
+		if node.state == StateIdle || node.state == StateDown { // down: the module sends there again, so it may be back
+			m.openStream(node)
+		}
+	case SessionStarted: // the answer to the set-up proves life as well as a notification does
+		delete(node.pendingSetups, ev.Session)
+		node.sessions[ev.Session] = m.now
+		node.lastHeardAt = math.Max(node.lastHeardAt, m.now)
+		if node.state == StateIdle || node.state == StateDown {
+			m.openStream(node)
+		}
+	case SessionEnded:
+		delete(node.pendingSetups, ev.Session)
+		delete(node.sessions, ev.Session)
+		if node.unused() {
+			node.unusedSince = m.now
+		}
+	case StreamOpened:
+		if node.state == StateOpening {
+			m.reconcileSessions(node, ev)
+		}
+	case StreamActivity:
+		if node.state == StateUp {
+			node.lastHeardAt = m.now
+		}
+	case StreamFailed:
+		if node.state == StateOpening || node.state == StateUp {
+			node.consecutiveRefusals++
+			if !ev.ConnRefused {
+				node.consecutiveRefusals = 0
+			}
+			m.streamFailed(node)
+		}
+	}
+}
+
+func (n *nodeState) unused() bool { return len(n.pendingSetups) == 0 && len(n.sessions) == 0 }
+
+func (m *Monitor) openStream(node *nodeState) {
+	if node.state == StateIdle || node.state == StateDown {
+		node.lastHeardAt, node.retryDelayMs, node.consecutiveRefusals = m.now, 0, 0
+	}
+	node.state, node.openedAt = StateOpening, m.now
+	m.out = append(m.out, Action{Kind: OpenStream, Node: node.id})
+}
+
+// reconcileSessions compares the sessions that the media node runs with those that this director knows. Only a session
+// that started before the stream was requested can be found missing: the media node may have written its list before a
+// later one was set up.
+func (m *Monitor) reconcileSessions(node *nodeState, ev *Event) {
+	node.state, node.lastHeardAt, node.retryDelayMs, node.bootID, node.consecutiveRefusals =
+		StateUp, m.now, 0, ev.BootID, 0
+	running := make(map[SessionID]bool, len(ev.Sessions))
+	for _, session := range ev.Sessions {
+		running[session] = true
+		if _, ok := node.sessions[session]; !ok && !node.pendingSetups[session] {
+			m.out = append(m.out, Action{Kind: EndOrphan, Node: node.id, Session: session})
+		}
+	}
+	for _, session := range sortedSessions(node.sessions) {
+		if !running[session] && node.sessions[session] < node.openedAt {
+			m.loseSession(node, session)
+		}
+	}
+}
+
+func sortedSessions(sessions map[SessionID]float64) []SessionID {
+	out := make([]SessionID, 0, len(sessions))
+	for session := range sessions {
+		out = append(out, session)
+	}
+	slices.Sort(out)
+	return out
+}
+
+func (m *Monitor) loseSession(node *nodeState, session SessionID) {
+	delete(node.sessions, session)
+	m.out = append(m.out, Action{Kind: SessionLost, Node: node.id, Session: session})
+	if node.unused() {
+		node.unusedSince = m.now
+	}
+}
+
+// streamFailed schedules the next attempt to open the stream; a media node without sessions needs none.
+func (m *Monitor) streamFailed(node *nodeState) {
+	node.state = StateBroken
+	node.retryDelayMs = math.Min(math.Max(node.retryDelayMs*2, m.cfg.MinRetryMs), m.cfg.MaxRetryMs)
+	node.retryAt = m.now + node.retryDelayMs
+	if node.unused() {
+		node.state = StateIdle
+	}
+}
+
+// checkTimeouts does what is due at a Tick; the package comment has the table.
+func (m *Monitor) checkTimeouts() {
+	for _, node := range m.sortedNodes {
+		switch node.state {
+		case StateOpening:
+			if m.now-node.openedAt > m.cfg.OpenTimeoutMs {
+				m.out = append(m.out, Action{Kind: CloseStream, Node: node.id})
+				m.streamFailed(node)
+			}
+		case StateUp:
+			if m.now-node.lastHeardAt > m.cfg.StreamTimeoutMs {
+				m.out = append(m.out, Action{Kind: CloseStream, Node: node.id})
+				m.streamFailed(node)
+			} else if node.unused() && m.now-node.unusedSince > m.cfg.IdleTimeoutMs {
+				m.out = append(m.out, Action{Kind: CloseStream, Node: node.id})
+				node.state = StateIdle
+			}
+		}
+		dead := m.now-node.lastHeardAt > m.cfg.NodeTimeoutMs || node.consecutiveRefusals >= refusalsUntilDown
+		if (node.state == StateBroken || node.state == StateOpening) && len(node.sessions) > 0 && dead {
+			m.out = append(m.out, Action{Kind: NodeDown, Node: node.id, Count: len(node.sessions)})
+			for _, session := range sortedSessions(node.sessions) {
+				m.loseSession(node, session)
+			}
+			if node.state == StateOpening {
+				m.out = append(m.out, Action{Kind: CloseStream, Node: node.id})
+			}
+			node.state = StateDown
+		}
+		if node.state == StateBroken && m.now >= node.retryAt {
+			if node.unused() {
+				node.state = StateIdle
+			} else {
+				m.openStream(node)
+			}
+		}
+		if node.state == StateDown && len(node.pendingSetups) > 0 { // the module sends there again, so it may be back
+			m.openStream(node)
+		}
+	}
+	// A media node that is long unused is forgotten, so that the table is bounded by the present nodes.
+	m.sortedNodes = slices.DeleteFunc(m.sortedNodes, func(node *nodeState) bool {
+		expired := (node.state == StateIdle || node.state == StateDown) && node.unused() &&
+			m.now-node.unusedSince > 10*m.cfg.IdleTimeoutMs
+		if expired {
+			delete(m.nodes, node.id)
+		}
+		return expired
+	})
+}
--- /dev/null
+++ b/decide/health/health_test.go
@@ -0,0 +1,118 @@
+package health
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+func newTestMonitor() *Monitor {
+	return New(Config{StreamTimeoutMs: 300, NodeTimeoutMs: 1000, MinRetryMs: 100, MaxRetryMs: 400, IdleTimeoutMs: 500,
+		OpenTimeoutMs: 300})
+}
+
+func formatActions(actions []Action) string {
+	names := [...]string{"open", "close", "lost", "orphan", "down"}
+	var out []string
+	for _, action := range actions {
+		s := names[action.Kind]
+		switch action.Kind {
+		case SessionLost, EndOrphan:
+			s += fmt.Sprint(action.Session)
+		case NodeDown:
+			s += fmt.Sprintf("(%d)", action.Count)
+		}
+		out = append(out, s)
+	}
+	return strings.Join(out, " ")
+}
+
+type step struct {
+	at   float64
+	ev   Event
+	want string
+}
+
+func run(t *testing.T, name string, m *Monitor, steps []step) {
+	t.Helper()
+	for i, s := range steps {
+		s.ev.Node = 7
+		if got := formatActions(m.Step(s.at, []Event{s.ev}, nil)); got != s.want {
+			t.Fatalf("%s, step %d at %v: got %q, want %q (%s)", name, i, s.at, got, s.want, m.State(7))
+		}
+	}
+}
+
+func started(id SessionID) Event { return Event{Kind: SessionStarted, Session: id} }
+func opened(running ...SessionID) Event {
+	return Event{Kind: StreamOpened, BootID: "a", Sessions: running}
+}
+func setupSent(id SessionID) Event { return Event{Kind: SetupSent, Session: id} }
+func ended(id SessionID) Event     { return Event{Kind: SessionEnded, Session: id} }
+func connRefused() Event           { return Event{Kind: StreamFailed, ConnRefused: true} }
+
+var (
+	tick     = Event{Kind: Tick}
+	activity = Event{Kind: StreamActivity}
+	failed   = Event{Kind: StreamFailed}
+)
+
+// The stream is opened with the first set-up and closed when it is unused for long.
+func TestStreamFollowsUse(t *testing.T) {
+	run(t, "use", newTestMonitor(), []step{{0, setupSent(1), "open"}, {1, opened(), ""}, {2, started(1), ""},
+		{200, activity, ""}, {300, ended(1), ""}, {301, tick, ""}, {460, activity, ""}, {700, activity, ""},
+		{820, tick, "close"}, {830, setupSent(2), "open"}})
+	run(t, "failed set-up", newTestMonitor(), []step{{0, setupSent(1), "open"}, {1, failed, ""}, {2, ended(1), ""},
+		{600, tick, ""}, {5000, tick, ""}, {5001, setupSent(2), "open"}})
+}
+
+func TestShortInterruptionLosesNoSession(t *testing.T) {
+	run(t, "interruption", newTestMonitor(), []step{{0, setupSent(1), "open"}, {1, opened(), ""}, {2, started(1), ""},
+		{100, failed, ""}, {150, tick, ""}, {200, tick, "open"}, {210, opened(1), ""}, {220, tick, ""}})
+}
+
+func TestSilentNodeIsDown(t *testing.T) {
+	m := newTestMonitor()
+	run(t, "silent", m, []step{{0, setupSent(1), "open"}, {1, opened(), ""}, {2, started(1), ""}, {3, started(2), ""},
+		{200, activity, ""}, {499, tick, ""}, {501, tick, "close"}, {601, tick, "open"}, {902, tick, "close"},
+		{1102, tick, "open"}, {1201, tick, "down(2) lost1 lost2 close"}, {1300, tick, ""}})
+	if m.State(7) != StateDown {
+		t.Fatalf("state %s", m.State(7))
+	}
+	// The media node comes back and still runs the sessions that were given up: they are orphans.
+	run(t, "back", m, []step{{1400, setupSent(3), "open"}, {1410, opened(1, 2), "orphan1 orphan2"}})
+}
+
+// A host that refuses the connection twice has lost its process: waiting longer would only cost viewers time.
+func TestRefusedTwiceIsDownAtOnce(t *testing.T) {
+	run(t, "refused", newTestMonitor(), []step{{0, setupSent(1), "open"}, {1, opened(), ""}, {2, started(1), ""},
+		{100, failed, ""}, {200, tick, "open"}, {201, connRefused(), ""}, {202, tick, ""}, {401, tick, "open"},
+		{402, connRefused(), ""}, {403, tick, "down(1) lost1"}})
+	run(t, "refused once", newTestMonitor(), []step{{0, setupSent(1), "open"}, {1, opened(), ""}, {2, started(1), ""},
+		{100, failed, ""}, {200, tick, "open"}, {201, connRefused(), ""}, {401, tick, "open"}, {402, opened(1), ""},
+		{403, tick, ""}})
+}
+
+func TestRestartedNodeIsDetectedByItsSessions(t *testing.T) {
+	run(t, "restart", newTestMonitor(), []step{{0, setupSent(1), "open"}, {1, opened(), ""}, {2, started(1), ""},
+		{3, started(2), ""}, {100, failed, ""}, {200, tick, "open"}, {205, started(3), ""},
+		{210, opened(2, 9), "orphan9 lost1"}})
+	// A session that started after the stream was requested can be missing from a list that was written before.
+	run(t, "started later", newTestMonitor(), []step{{0, setupSent(1), "open"}, {5, started(1), ""}, {6, opened(), ""},
+		{7, tick, ""}})
+	// A session whose set-up is pending is not an orphan.
+	run(t, "pending set-up", newTestMonitor(), []step{{0, setupSent(1), "open"}, {6, opened(1), ""}})
+}
+
+// Media nodes that are no longer used are forgotten, so that the table does not grow without bound.
+func TestUnusedNodesAreForgotten(t *testing.T) {
+	m := newTestMonitor()
+	for i := range 50 {
+		m.Step(0, []Event{{Kind: SetupSent, Node: NodeID(i), Session: 1}, {Kind: SessionEnded, Node: NodeID(i), Session: 1},
+			{Kind: StreamFailed, Node: NodeID(i)}}, nil)
+	}
+	m.Step(6000, []Event{tick}, nil)
+	if len(m.nodes) != 0 || len(m.sortedNodes) != 0 {
+		t.Fatalf("%d media nodes are kept for ever", len(m.nodes))
+	}
+}
