--- a/internal/director/agent.go
+++ b/internal/director/agent.go
@@ -7,48 +7,51 @@
 	"headmill/internal/loop"
 )
 
-// agent answers balancers' agent checks (HAProxy configuration manual, section 5.2, "agent-check"): a line of
-// ASCII on connect, then the end. A check is no session and touches no table.
-type agent struct{ d *Director }
+// agentCheckHandler owns connections of load balancers' agent checks (HAProxy configuration manual, section 5.2,
+// "agent-check"): the director writes a line of ASCII on connect and closes. A check is not a session and changes no
+// table.
+type agentCheckHandler struct{ director *Director }
 
-// Connected is never called for accepted connections.
-func (a agent) Connected(*loop.Conn) {}
+// Connected implements loop.Handler. It is never called for accepted connections.
+func (a agentCheckHandler) Connected(*loop.Conn) {}
 
-// Drained has nothing to do.
-func (a agent) Drained(*loop.Conn) {}
+// Drained implements loop.Handler.
+func (a agentCheckHandler) Drained(*loop.Conn) {}
 
-// Data throws away what a check sends ("agent-send").
-func (a agent) Data(*loop.Conn, []byte) {}
+// Data discards what the check sends ("agent-send").
+func (a agentCheckHandler) Data(*loop.Conn, []byte) {}
 
-// Closed has nothing to do.
-func (a agent) Closed(*loop.Conn, error) {}
+// Closed implements loop.Handler.
+func (a agentCheckHandler) Closed(*loop.Conn, error) {}
 
-// agentLine is what is said: drain as soon as a stop was asked for, down without a box list, else the weight.
-func (d *Director) agentLine() string {
+// agentCheckResponse returns "drain" once a stop was requested, "down" without a node list, and otherwise "up" with
+// the weight from admission control.
+func (d *Director) agentCheckResponse() string {
 	switch {
-	case d.stop.Phase() != shutdown.PhaseServing:
+	case d.shutdown.Phase() != shutdown.PhaseServing:
 		return "drain\n"
-	case d.fleet.Len() == 0:
+	case d.nodeList.Len() == 0:
 		return "down #no box list\n"
 	}
-	return "up " + strconv.Itoa(d.gate.Weight()) + "%\n"
+	return "up " + strconv.Itoa(d.admission.Weight()) + "%\n"
 }
 
-func (d *Director) listenAgent() error {
+// listenAgentChecks opens the agent check listener if one is configured.
+func (d *Director) listenAgentChecks() error {
 	if d.cfg.Director.Agent == "" {
 		return nil
 	}
-	ln, err := d.l.Listen(d.cfg.Director.Agent, func(c *loop.Conn) loop.Handler {
-		d.stats.Checks++
-		c.Write([]byte(d.agentLine()))
+	ln, err := d.loop.Listen(d.cfg.Director.Agent, func(c *loop.Conn) loop.Handler {
+		d.stats.AgentChecks++
+		c.Write([]byte(d.agentCheckResponse()))
 		c.CloseWrite()
-		return agent{d}
+		return agentCheckHandler{d}
 	})
 	if err == nil {
-		d.agentAddr = ln.Addr()
+		d.agentCheckAddr = ln.Addr()
 	}
 	return err
 }
 
-// AgentAddr is where agent checks are answered; empty where they are not.
-func (d *Director) AgentAddr() string { return d.agentAddr }
+// AgentAddr returns the address of the agent check listener, or "" if there is none.
+func (d *Director) AgentAddr() string { return d.agentCheckAddr }
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -1,16 +1,39 @@
-// Package director is one running director: it turns what passes on sockets
-// into events for the decision modules and carries their actions out. It owns
-// the session table, the viewers' connections and those to boxes and to the
-// list service. It decides nothing: where and at which rung is the module's,
-// whether a request is one under way is decide/once's, what became of a set-up
-// is decide/attempt's, which sessions are lost with a box is decide/boxes',
-// which list counts is decide/fleet's, and how it stops is decide/retire's.
+// Package director runs one director process. It converts socket input into
+// events for the decision packages and carries out the actions they return.
+// It owns the session table, the connections of viewers, and the connections
+// to media nodes and to the discovery service.
 //
-// A request's way, in files: front.go (accept, parse, token) - path.go (ledger
-// and module, their actions) - setup.go (the set-up at a box) - answer.go (the
-// answer). Notes of boxes come by boxes.go, the box list by list.go.
+// The package makes no decisions itself:
 //
-// Everything runs on the loop's goroutine.
+//	headmill            placement and rungs (the decision module)
+//	decide/limits       admission control, retry advice and memory quotas
+//	decide/idempotency  whether a request is new or belongs to a known session
+//	decide/attempt      the outcome of a set-up attempt
+//	decide/health       which sessions are lost with a media node
+//	decide/discovery    which node list is in force
+//	decide/quality      findings from players' reports
+//	decide/shutdown     the phases of a stop
+//
+// A request passes through http.go or websocket.go (accept, parse, check the
+// token), request.go (admission control and the ledger), session.go (actions
+// of the ledger and the module), setup.go (the attempt at a media node) and
+// response.go (the answer). The event streams of media nodes are read in
+// nodestream.go, the node list in discovery.go.
+//
+// A session in the table has one of these states:
+//
+//	sessionPending  the module is placing it; entered at StartSetup. Goes to
+//	                sessionPlaying when an attempt succeeds. A refusal or a
+//	                failure is passed to the ledger, and the entry stays
+//	                until ForgetSession. AdoptSession, after a late success,
+//	                also leads to sessionPlaying
+//	sessionPlaying  it streams from its media node. Goes to sessionEnded when
+//	                the node reports its end, the node is lost, or this
+//	                director ends it
+//	sessionEnded    the module has released it; the ledger may still know it.
+//	                Removed at ForgetSession
+//
+// All state belongs to the goroutine of the event loop.
 package director
 
 import (
@@ -40,93 +63,119 @@
 	"headmill/internal/ws"
 )
 
-const tickMs = 50 // ms between looks at time limits and at the ledgers' own times
+// tickIntervalMs is the interval, in ms, at which deadlines and the timers of the decision packages are checked.
+const tickIntervalMs = 50
+
+// sweepIntervalMs is the minimum time, in ms, between two sweeps of all connections of viewers, and between two
+// measurements of the director's load. nodeSweepIntervalMs is the same for media nodes.
+const (
+	sweepIntervalMs     = 250
+	nodeSweepIntervalMs = 1000
+)
+
+// logIntervalMs is the minimum time, in ms, between two log lines about a condition that may recur often.
+const logIntervalMs = 2000
 
-// title is one entry of the catalogue with the module's number for it.
+// title is a catalogue entry with its number in the decision module and the index of its class.
 type title struct {
 	*config.Title
 	number uint64
 	class  int
 }
 
-// Stats counts what a director did since its start.
+// Stats counts events since the start of the director.
 type Stats struct {
-	Asked, Played, Refused, Failed, Denied, Elsewhere uint64
-	Attempts, Lost, Late, Orphans, Lists, CutSlow     uint64
-	Shed, Checks, ReportsTaken, ReportsDropped        uint64
+	Asked, Played, Refused, Failed, Denied, Redirected                          uint64
+	Attempts, LostSessions, LateSuccesses, EndedOrphans, NodeLists, SlowReaders uint64
+	AdmissionRefusals, AgentChecks, ReportsAccepted, ReportsDropped             uint64
 }
 
-// Director is one director. All methods but Post-safe Stop are for the loop's goroutine.
+// Director is one running director. Once the loop runs, its methods must be called on the loop's goroutine, except
+// Stop, ServeMetrics, ServeOperator, Addr and AgentAddr, which may be called from any goroutine.
 type Director struct {
-	cfg    *config.Settings
-	l      *loop.Loop
-	log    *slog.Logger
-	boot   string // distinguishes this run's sessions at the boxes
-	seed   uint64
-	listen *loop.Listener
+	cfg      *config.Settings
+	loop     *loop.Loop
+	log      *slog.Logger
+	bootID   string // distinguishes this run's session names at the media nodes
+	seed     uint64
+	listener *loop.Listener
 
-	module   *headmill.Controller
-	ledger   *idempotency.Ledger
-	watch    *health.Monitor
-	fleet    *discovery.List
-	stop     *shutdown.Shutdown
-	gate     *limits.Admission
-	sizes    limits.CapacityEstimator
-	views    views
-	accounts limits.Quotas
-	check    *token.Checker
-	pool     *token.Pool
-	titles   map[string]*title
+	module       *headmill.Controller
+	ledger       *idempotency.Ledger
+	health       *health.Monitor
+	nodeList     *discovery.List
+	shutdown     *shutdown.Shutdown
+	admission    *limits.Admission
+	capacity     limits.CapacityEstimator
+	quality      qualityState
+	quotas       limits.Quotas
+	tokenChecker *token.Checker
+	tokenPool    *token.Pool
+	titles       map[string]*title
 
-	// What waits for the decision modules, in the order in which it was seen.
-	moduleIn []headmill.Event
-	ledgerIn []idempotency.Event
-	watchIn  []health.Event
-	module0  []headmill.Event
-	ledger0  []idempotency.Event
-	watch0   []health.Event
-	acts     []headmill.Action
-	flushing bool
+	// Events queued for the decision packages, in order of arrival. The spare slices are the previous batches, reused
+	// as the next queues.
+	moduleEvents      []headmill.Event
+	ledgerEvents      []idempotency.Event
+	healthEvents      []health.Event
+	spareModuleEvents []headmill.Event
+	spareLedgerEvents []idempotency.Event
+	spareHealthEvents []health.Event
+	moduleActions     []headmill.Action
+	stepping          bool
 
-	sessions map[idempotency.SessionID]*session
-	viewers  map[*viewer]struct{}
-	waiters  map[idempotency.RequestID]*order
-	sockets  map[*socket]struct{}
-	boxes    map[headmill.NodeID]*box
-	list     listClient
+	sessions   map[idempotency.SessionID]*session
+	viewers    map[*viewerConn]struct{}
+	requests   map[idempotency.RequestID]*sessionRequest
+	webSockets map[*webSocket]struct{}
+	nodes      map[headmill.NodeID]*mediaNode
+	discovery  discoveryClient
 
-	lastSession  idempotency.SessionID
-	lastWaiter   idempotency.RequestID
-	parsers      []*http1.Parser
-	scratch      []byte
-	body         []byte
-	saidFull     float64
-	agentAddr    string
-	memory       []metrics.Sample
-	nextSweep    float64
-	nextBoxSweep float64
-	nextSockets  float64
-	nextMeasure  float64
-	batch        int // events handed over since the load was last measured
-	ending       int
-	asked        bool
-	hurry        bool
-	History      *history.Writer // of closed windows; nil: none. Its owner closes it after the loop has ended
-	Trace        *trace.Tracer   // of sampled sessions; nil: none. Its owner closes it after the loop has ended
-	Done         func()          // called once when the director has stopped
-	ListenFD     int             // a listening socket that was handed over; 0: open one
-	stats        Stats
+	lastSessionID       idempotency.SessionID
+	lastRequestID       idempotency.RequestID
+	freeParsers         []*http1.Parser
+	writeBuffer         []byte
+	manifestBuffer      []byte
+	lastConnLimitLogAt  float64
+	agentCheckAddr      string
+	memorySamples       []metrics.Sample
+	nextViewerSweep     float64
+	nextNodeSweep       float64
+	nextWebSocketSweep  float64
+	nextLoadMeasurement float64
+	maxBatch            int // largest batch of events in one step since the load was last measured
+	unconfirmedEnds     int
+	stopRequested       bool
+	skipDrain           bool
+	// History stores closed windows; may be nil. Its owner closes it after the loop has ended.
+	History *history.Writer
+	// Trace traces sampled sessions; may be nil. Its owner closes it after the loop has ended.
+	Trace    *trace.Tracer
+	Done     func() // called once when the director has stopped; may be nil
+	ListenFD int    // inherited listening socket; 0 opens a new one
+	stats    Stats
 }
 
-// New makes a director on a loop; Start opens it. The keys check session tokens.
-func New(cfg *config.Settings, l *loop.Loop, keys []token.Key, log *slog.Logger) (*Director, error) {
+// New returns a director that runs on the given loop. keys verify session tokens. The director serves once Start is
+// called.
+func New(cfg *config.Settings, eventLoop *loop.Loop, keys []token.Key, log *slog.Logger) (*Director, error) {
 	var b [12]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return nil, fmt.Errorf("director: %w", err)
 	}
-	d := &Director{cfg: cfg, l: l, log: log, boot: fmt.Sprintf("%08x", b[8:]), seed: cfg.Director.Seed,
-		titles: map[string]*title{}, sessions: map[idempotency.SessionID]*session{}, viewers: map[*viewer]struct{}{},
-		waiters: map[idempotency.RequestID]*order{}, sockets: map[*socket]struct{}{}, boxes: map[headmill.NodeID]*box{}}
+	d := &Director{
+		cfg:        cfg,
+		loop:       eventLoop,
+		log:        log,
+		bootID:     fmt.Sprintf("%08x", b[8:]),
+		seed:       cfg.Director.Seed,
+		titles:     map[string]*title{},
+		sessions:   map[idempotency.SessionID]*session{},
+		viewers:    map[*viewerConn]struct{}{},
+		requests:   map[idempotency.RequestID]*sessionRequest{},
+		webSockets: map[*webSocket]struct{}{},
+		nodes:      map[headmill.NodeID]*mediaNode{},
+	}
 	if d.seed == 0 {
 		d.seed = binary.LittleEndian.Uint64(b[:])
 	}
@@ -138,123 +187,159 @@
 		t := &cfg.Titles[i]
 		d.titles[t.Name] = &title{Title: t, number: xxhash.Sum64String(t.Name) | 1, class: cfg.ClassIndex(t.Class)}
 	}
-	d.check = token.NewChecker(keys, cfg.Tokens.Cache, time.Duration(cfg.Tokens.SkewMs*float64(time.Millisecond)))
+	d.tokenChecker = token.NewChecker(keys, cfg.Tokens.Cache,
+		time.Duration(cfg.Tokens.SkewMs*float64(time.Millisecond)))
 	workers := cfg.Tokens.Workers
 	if workers == 0 {
 		workers = runtime.NumCPU() - 1
 	}
-	d.pool = token.NewPool(workers, cfg.Tokens.Queue, l.Post)
-	d.ledger = idempotency.New(idempotency.Config{Self: max(cfg.Self(), 0), Directors: cfg.Director.Directors,
-		MaxEntries: cfg.Limits.Entries, MaxWaiters: cfg.Limits.Waiters, UnclaimedTTLMs: cfg.Times.UnclaimedTTLMs, DetachedTTLMs: cfg.Times.DetachedTTLMs,
-		ClockSkewMs: cfg.Tokens.SkewMs, RetryAfterMs: cfg.Attempts.MaxRetryAfterMs, LateAnswerMs: cfg.Times.LateAnswerMs,
-		StartedMs: l.Now(), FirstStart: cfg.Director.FirstStart, ShardPaid: len(cfg.Director.Directors) > 1})
-	d.setGate()
-	d.setViews()
+	d.tokenPool = token.NewPool(workers, cfg.Tokens.Queue, eventLoop.Post)
+	d.ledger = idempotency.New(idempotency.Config{
+		Self:           max(cfg.Self(), 0),
+		Directors:      cfg.Director.Directors,
+		MaxEntries:     cfg.Limits.Entries,
+		MaxWaiters:     cfg.Limits.Waiters,
+		UnclaimedTTLMs: cfg.Times.UnclaimedTTLMs,
+		DetachedTTLMs:  cfg.Times.DetachedTTLMs,
+		ClockSkewMs:    cfg.Tokens.SkewMs,
+		RetryAfterMs:   cfg.Attempts.MaxRetryAfterMs,
+		LateAnswerMs:   cfg.Times.LateAnswerMs,
+		StartedMs:      eventLoop.Now(),
+		FirstStart:     cfg.Director.FirstStart,
+		ShardPaid:      len(cfg.Director.Directors) > 1,
+	})
+	d.initAdmission()
+	d.initQuality()
 	t := &cfg.Times
-	d.watch = health.New(health.Config{StreamTimeoutMs: t.NodeStreamTimeoutMs, NodeTimeoutMs: t.NodeTimeoutMs, MinRetryMs: 100, MaxRetryMs: 1000,
-		IdleTimeoutMs: t.NodeIdleMs, OpenTimeoutMs: t.NodeStreamTimeoutMs})
-	d.fleet = discovery.New(discovery.Config{MaxNodes: cfg.Limits.Nodes, Cells: cfg.Fleet.Cells, Kinds: len(cfg.Fleet.StreamsByKind)})
-	d.stop = shutdown.New(shutdown.Config{NoticeMs: t.NoticeMs, SetupDrainMs: t.SetupDrainMs, SessionDrainMs: t.SessionDrainMs, EndConfirmMs: t.EndConfirmMs})
-	d.list.d = d
+	d.health = health.New(health.Config{
+		StreamTimeoutMs: t.NodeStreamTimeoutMs,
+		NodeTimeoutMs:   t.NodeTimeoutMs,
+		MinRetryMs:      100,
+		MaxRetryMs:      1000,
+		IdleTimeoutMs:   t.NodeIdleMs,
+		OpenTimeoutMs:   t.NodeStreamTimeoutMs,
+	})
+	d.nodeList = discovery.New(discovery.Config{
+		MaxNodes: cfg.Limits.Nodes,
+		Cells:    cfg.Fleet.Cells,
+		Kinds:    len(cfg.Fleet.StreamsByKind),
+	})
+	d.shutdown = shutdown.New(shutdown.Config{
+		NoticeMs:       t.NoticeMs,
+		SetupDrainMs:   t.SetupDrainMs,
+		SessionDrainMs: t.SessionDrainMs,
+		EndConfirmMs:   t.EndConfirmMs,
+	})
+	d.discovery.director = d
 	return d, nil
 }
 
-// Start listens, connects to the list service and begins to serve.
+// Start opens the listeners, connects to the discovery service and begins to serve.
 func (d *Director) Start() error {
 	var ln *loop.Listener
 	var err error
 	if d.ListenFD > 0 {
-		ln, err = d.l.ListenFD(d.ListenFD, d.accept)
+		ln, err = d.loop.ListenFD(d.ListenFD, d.accept)
 	} else {
-		ln, err = d.l.Listen(d.cfg.Director.Listen, d.accept)
+		ln, err = d.loop.Listen(d.cfg.Director.Listen, d.accept)
 	}
 	if err != nil {
 		return err
 	}
-	d.listen = ln
-	if err := d.listenAgent(); err != nil {
+	d.listener = ln
+	if err := d.listenAgentChecks(); err != nil {
 		return err
 	}
-	d.list.connect()
-	d.l.OnRound(d.flush)
+	d.discovery.connect()
+	d.loop.OnRound(d.stepModules)
 	d.tick()
 	return nil
 }
 
-// Addr is the address that viewers connect to.
-func (d *Director) Addr() string { return d.listen.Addr() }
+// Addr returns the address that viewers connect to.
+func (d *Director) Addr() string { return d.listener.Addr() }
 
-// Stats returns the counts. For the loop's goroutine.
+// Stats returns the counters. It must be called on the loop's goroutine.
 func (d *Director) Stats() Stats { return d.stats }
 
-// Boxes is the number of boxes on the believed list. For the loop's goroutine.
-func (d *Director) Boxes() int { return d.fleet.Len() }
+// NodeCount returns the number of media nodes on the node list in force. It must be called on the loop's goroutine.
+func (d *Director) NodeCount() int { return d.nodeList.Len() }
 
-// SetKeys changes the key set while the director runs. For the loop's goroutine.
-func (d *Director) SetKeys(keys []token.Key) { d.check.SetKeys(keys) }
+// SetKeys replaces the key set of a running director. It must be called on the loop's goroutine.
+func (d *Director) SetKeys(keys []token.Key) { d.tokenChecker.SetKeys(keys) }
 
-// Stop asks the director to stop, the second time in a hurry. It may be called from any goroutine.
+// Stop requests an orderly shutdown; a second call skips the drain. It may be called from any goroutine.
 func (d *Director) Stop() {
-	d.l.Post(func() {
-		d.hurry = d.asked
-		d.asked = true
-		d.retire()
+	d.loop.Post(func() {
+		d.skipDrain = d.stopRequested
+		d.stopRequested = true
+		d.stepShutdown()
 	})
 }
 
+// tick runs the periodic checks and schedules the next tick.
 func (d *Director) tick() {
-	d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.Tick})
-	d.watchIn = append(d.watchIn, health.Event{Kind: health.Tick})
+	d.ledgerEvents = append(d.ledgerEvents, idempotency.Event{Kind: idempotency.Tick})
+	d.healthEvents = append(d.healthEvents, health.Event{Kind: health.Tick})
 	d.sweepViewers()
-	d.sweepSockets()
-	d.measure()
-	d.look()
-	d.sweepBoxes()
-	d.list.sweep()
-	d.retire()
-	d.l.After(tickMs, d.tick)
+	d.sweepWebSockets()
+	d.measureLoad()
+	d.stepQuality()
+	d.sweepNodes()
+	d.discovery.closeIfSilent()
+	d.stepShutdown()
+	d.loop.After(tickIntervalMs, d.tick)
 }
 
-// retire carries out how the director stops.
-func (d *Director) retire() {
+// stepShutdown advances the shutdown and carries out its actions.
+func (d *Director) stepShutdown() {
 	playing := 0
-	if d.asked {
+	if d.stopRequested {
 		for _, s := range d.sessions {
-			if s.state == plays {
+			if s.state == sessionPlaying {
 				playing++
 			}
 		}
 	}
-	for _, a := range d.stop.Step(d.l.Now(), shutdown.Status{StopRequested: d.asked, SkipDrain: d.hurry,
-		PendingRequests: len(d.waiters), PlayingSessions: playing, UnconfirmedEnds: d.ending}, nil) {
-		d.log.Info("stopping", "phase", d.stop.Phase().String(), "waiting", len(d.waiters), "playing", playing)
+	for _, a := range d.shutdown.Step(d.loop.Now(), shutdown.Status{
+		StopRequested:   d.stopRequested,
+		SkipDrain:       d.skipDrain,
+		PendingRequests: len(d.requests),
+		PlayingSessions: playing,
+		UnconfirmedEnds: d.unconfirmedEnds,
+	}, nil) {
+		d.log.Info("stopping", "phase", d.shutdown.Phase().String(), "waiting", len(d.requests), "playing", playing)
 		switch a {
 		case shutdown.RefuseNewSessions:
 			d.ledger.Stop()
 			for v := range d.viewers {
-				v.lastCall()
+				v.drain()
 			}
 		case shutdown.CloseListeners:
-			d.listen.Close()
+			d.listener.Close()
 		case shutdown.FailPending:
 			for id := range d.sessions {
-				d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.SetupFailed, Session: id, Reason: idempotency.ReasonShuttingDown})
+				d.ledgerEvents = append(d.ledgerEvents, idempotency.Event{
+					Kind:    idempotency.SetupFailed,
+					Session: id,
+					Reason:  idempotency.ReasonShuttingDown,
+				})
 			}
 		case shutdown.EndSessions:
 			for _, s := range d.sessions {
-				if s.state == plays {
-					d.endAtBox(s)
+				if s.state == sessionPlaying {
+					d.endAtNode(s)
 				}
 			}
 		case shutdown.CloseAllConnections:
-			d.flush()
+			d.stepModules()
 			for v := range d.viewers {
-				v.c.CloseWrite()
+				v.conn.CloseWrite()
 			}
-			for k := range d.sockets {
-				k.close(ws.GoingAway, "this director is leaving")
+			for w := range d.webSockets {
+				w.close(ws.GoingAway, "this director is leaving")
 			}
-			go d.pool.Close()
+			go d.tokenPool.Close()
 			if d.Done != nil {
 				d.Done()
 			}
@@ -262,16 +347,18 @@
 	}
 }
 
-// wall is the time that tokens are checked against.
-func (d *Director) wall() time.Time { return time.Now() }
+// wallClock returns the time that tokens are checked against.
+func (d *Director) wallClock() time.Time { return time.Now() }
 
-func (d *Director) name(s *session) string {
-	return fmt.Sprintf("%s.%s.%d", d.cfg.Director.Name, d.boot, s.id)
+// sessionName returns the name of a session at media nodes. It is unique across directors and their restarts.
+func (d *Director) sessionName(s *session) string {
+	return fmt.Sprintf("%s.%s.%d", d.cfg.Director.Name, d.bootID, s.id)
 }
 
-// parseName finds the session that a box speaks of; false for one of an earlier run or of another director.
-func (d *Director) parseName(name string) (idempotency.SessionID, bool) {
-	rest, ok := strings.CutPrefix(name, d.cfg.Director.Name+"."+d.boot+".")
+// parseSessionName returns the session ID in a session name. It returns false for a name of an earlier run or of
+// another director.
+func (d *Director) parseSessionName(name string) (idempotency.SessionID, bool) {
+	rest, ok := strings.CutPrefix(name, d.cfg.Director.Name+"."+d.bootID+".")
 	if !ok {
 		return 0, false
 	}
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -13,23 +13,25 @@
 
 	"headmill/internal/config"
 	"headmill/internal/dash"
-	sbox "headmill/internal/standin/medianode"
+	"headmill/internal/standin/medianode"
 	"headmill/internal/token"
 )
 
+// A manifest of each class leads to playable segments, and the same token gets the same manifest again.
 func TestManifestToSegments(t *testing.T) {
-	r := newRig(t, 1, nil)
+	env := newTestEnv(t, 1, nil)
 	for _, class := range []string{"paid", "free", "floor"} {
-		raw := r.token(class, "j-"+class)
-		got := r.want(class, r.get(class, raw), 200)
-		p, err := dash.Parse([]byte(got.body))
+		raw := env.token(class, "j-"+class)
+		got := env.wantStatus(class, env.get(class, raw), 200)
+		manifest, err := dash.Parse([]byte(got.body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if p.Reps[0].ID != map[string]string{"paid": "r0", "free": "r0", "floor": "r1"}[class] {
-			t.Errorf("%s: lowest representation %s", class, p.Reps[0].ID)
+		if manifest.Reps[0].ID != map[string]string{"paid": "r0", "free": "r0", "floor": "r1"}[class] {
+			t.Errorf("%s: lowest representation %s", class, manifest.Reps[0].ID)
 		}
-		for _, url := range []string{p.Init(0), p.Media(0, 0), p.Media(len(p.Reps)-1, p.Segments()-1)} {
+		for _, url := range []string{manifest.Init(0), manifest.Media(0, 0),
+			manifest.Media(len(manifest.Reps)-1, manifest.Segments()-1)} {
 			resp, err := http.Get(url)
 			if err != nil {
 				t.Fatal(err)
@@ -40,236 +42,253 @@
 				t.Errorf("%s: %d, %d bytes, %v", url, resp.StatusCode, len(b), resp.Header)
 			}
 		}
-		again := r.want(class+" again", r.get(class, raw), 200)
-		if again.body != got.body {
+		second := env.wantStatus(class+" again", env.get(class, raw), 200)
+		if second.body != got.body {
 			t.Errorf("%s: the same token gets another manifest", class)
 		}
 	}
-	if n := r.setups(); n != 3 {
-		t.Fatalf("%d set-ups for three wanted sessions", n)
+	if n := env.setupCount(); n != 3 {
+		t.Fatalf("%d set-ups for three sessions", n)
 	}
 }
 
-func TestRefusedTokensAreNoSessions(t *testing.T) {
-	r := newRig(t, 1, nil)
+// Requests with an invalid token, or for the wrong title, get their problem document and start no set-up. Keys can be
+// rotated while the director runs.
+func TestRejectedTokensStartNoSession(t *testing.T) {
+	env := newTestEnv(t, 1, nil)
 	other := token.NewKey("k9", make([]byte, 32))
 	forged := token.NewKey("k1", make([]byte, 32))
 	mint := func(k token.Key) string {
-		save := r.key
-		defer func() { r.key = save }()
-		r.key = k
-		return r.token("free", "x")
+		saved := env.signingKey
+		defer func() { env.signingKey = saved }()
+		env.signingKey = k
+		return env.token("free", "x")
 	}
-	good := r.token("free", "good")
+	good := env.token("free", "good")
 	for name, c := range map[string]struct {
 		path   string
 		status int
 		kind   string
 	}{
-		"none":             {"/dash/free-title/manifest.mpd", 401, "no-token"},
-		"nonsense":         {"/dash/free-title/manifest.mpd?token=abc", 401, "invalid-token"},
-		"expired":          {"/dash/free-title/manifest.mpd?token=" + r.tokenFor("free", "x", -time.Minute), 401, "token-expired"},
-		"unknown key":      {"/dash/free-title/manifest.mpd?token=" + mint(other), 401, "unknown-key"},
-		"forged":           {"/dash/free-title/manifest.mpd?token=" + mint(forged), 401, "invalid-token"},
-		"changed":          {"/dash/free-title/manifest.mpd?token=" + good[:len(good)-8] + "AAAAAAAA", 401, "invalid-token"},
+		"none":     {"/dash/free-title/manifest.mpd", 401, "no-token"},
+		"nonsense": {"/dash/free-title/manifest.mpd?token=abc", 401, "invalid-token"},
+		"expired": {"/dash/free-title/manifest.mpd?token=" + env.tokenFor("free", "x", -time.Minute),
+			401, "token-expired"},
+		"unknown key": {"/dash/free-title/manifest.mpd?token=" + mint(other), 401, "unknown-key"},
+		"forged":      {"/dash/free-title/manifest.mpd?token=" + mint(forged), 401, "invalid-token"},
+		"changed": {"/dash/free-title/manifest.mpd?token=" + good[:len(good)-8] + "AAAAAAAA",
+			401, "invalid-token"},
 		"of another title": {"/dash/paid-title/manifest.mpd?token=" + good, 403, "wrong-title"},
-		"unknown title":    {"/dash/none-title/manifest.mpd?token=" + r.token("none", "x"), 404, "no-such-title"},
+		"unknown title":    {"/dash/none-title/manifest.mpd?token=" + env.token("none", "x"), 404, "no-such-title"},
 		"no such page":     {"/else", 404, "no-such-page"},
 	} {
-		got := r.want(name, fetch(context.Background(), r.url+c.path), c.status)
+		got := env.wantStatus(name, fetch(context.Background(), env.baseURL+c.path), c.status)
 		var doc struct{ Type, Title, Detail string }
-		if got.header.Get("Content-Type") != "application/problem+json" || json.Unmarshal([]byte(got.body), &doc) != nil ||
-			doc.Type != problemType+c.kind || doc.Detail == "" {
+		if got.header.Get("Content-Type") != "application/problem+json" ||
+			json.Unmarshal([]byte(got.body), &doc) != nil ||
+			doc.Type != problemTypePrefix+c.kind || doc.Detail == "" {
 			t.Errorf("%s: %s %s", name, got.header.Get("Content-Type"), got.body)
 		}
 	}
-	if n := r.setups(); n != 0 {
+	if n := env.setupCount(); n != 0 {
 		t.Fatalf("%d set-ups", n)
 	}
-	if n := r.on(func() int { return int(r.d.Stats().Asked) }); n != 0 {
+	if n := env.onLoop(func() int { return int(env.director.Stats().Asked) }); n != 0 {
 		t.Fatalf("%d of them count as asked", n)
 	}
-	// A rotation: both keys hold, then only the new one.
-	r.on(func() int { r.d.SetKeys([]token.Key{r.key, other}); return 0 })
-	r.want("both", r.get("free", mint(other)), 200)
-	r.on(func() int { r.d.SetKeys([]token.Key{other}); return 0 })
-	r.want("old key gone", r.get("free", r.token("free", "y")), 401)
+	// Rotate the keys: both are accepted, then only the new one.
+	env.onLoop(func() int { env.director.SetKeys([]token.Key{env.signingKey, other}); return 0 })
+	env.wantStatus("both", env.get("free", mint(other)), 200)
+	env.onLoop(func() int { env.director.SetKeys([]token.Key{other}); return 0 })
+	env.wantStatus("old key gone", env.get("free", env.token("free", "y")), 401)
 }
 
-func TestRetryWhileTheFirstIsOut(t *testing.T) {
-	r := newRig(t, 1, nil)
-	r.boxes[0].Set(sbox.Faults{AnswerMs: 200})
-	raw := r.token("paid", "j")
+// Requests with the same token while the first is pending join its set-up.
+func TestRetryWhileFirstRequestIsPending(t *testing.T) {
+	env := newTestEnv(t, 1, nil)
+	env.nodes[0].Set(medianode.Faults{AnswerMs: 200})
+	raw := env.token("paid", "j")
 	var got []chan reply
 	for range 4 {
-		got = append(got, r.go_("paid", raw))
+		got = append(got, env.getAsync("paid", raw))
 	}
-	first := r.want("first", <-got[0], 200)
+	first := env.wantStatus("first", <-got[0], 200)
 	for _, ch := range got[1:] {
-		if a := r.want("twin", <-ch, 200); base(a.body) != base(first.body) {
-			t.Errorf("twins play %s and %s", base(a.body), base(first.body))
+		if a := env.wantStatus("duplicate", <-ch, 200); mediaURL(a.body) != mediaURL(first.body) {
+			t.Errorf("requests of one token play %s and %s", mediaURL(a.body), mediaURL(first.body))
 		}
 	}
-	if n := r.setups(); n != 1 {
+	if n := env.setupCount(); n != 1 {
 		t.Fatalf("%d set-ups", n)
 	}
 }
 
-// The box ran the paid set-up and its answer was lost: whatever the viewer does, it is not set up again, and
-// every request is answered within its time.
-func TestPaidAfterAnUnknownFailure(t *testing.T) {
-	r := newRig(t, 2, nil)
-	for _, b := range r.boxes {
-		b.Set(sbox.Faults{Lost: true})
-	}
-	raw := r.token("paid", "j")
-	began := time.Now()
-	r.want("first", r.get("paid", raw), 504)
-	if took := time.Since(began); took > 640*time.Millisecond {
-		t.Errorf("answered after %v, the viewer has 600 ms", took)
-	}
-	for _, b := range r.boxes {
-		b.Set(sbox.Faults{})
+// A media node ran a paid set-up and its answer was lost: the session must not be set up again, however often the
+// viewer retries, and every request is answered within the viewer's time.
+func TestPaidSessionAfterUnknownOutcome(t *testing.T) {
+	env := newTestEnv(t, 2, nil)
+	for _, node := range env.nodes {
+		node.Set(medianode.Faults{Lost: true})
+	}
+	raw := env.token("paid", "j")
+	start := time.Now()
+	env.wantStatus("first", env.get("paid", raw), 504)
+	if elapsed := time.Since(start); elapsed > 640*time.Millisecond {
+		t.Errorf("answered after %v, the viewer has 600 ms", elapsed)
+	}
+	for _, node := range env.nodes {
+		node.Set(medianode.Faults{})
 	}
 	for range 5 {
-		r.want("retry", r.get("paid", raw), 504)
+		env.wantStatus("retry", env.get("paid", raw), 504)
 	}
-	if n := r.on(func() int { return int(r.d.Stats().Attempts) }); n != 1 {
+	if n := env.onLoop(func() int { return int(env.director.Stats().Attempts) }); n != 1 {
 		t.Fatalf("%d attempts", n)
 	}
-	// Any other class is tried at the other box.
-	r = newRig(t, 2, nil)
-	for _, b := range r.boxes {
-		b.Set(sbox.Faults{Lost: true})
+	// A repeatable class is attempted again at the other media node.
+	env = newTestEnv(t, 2, nil)
+	for _, node := range env.nodes {
+		node.Set(medianode.Faults{Lost: true})
 	}
-	ch := r.go_("free", r.token("free", "f"))
+	ch := env.getAsync("free", env.token("free", "f"))
 	time.Sleep(50 * time.Millisecond)
-	for _, b := range r.boxes {
-		b.Set(sbox.Faults{})
+	for _, node := range env.nodes {
+		node.Set(medianode.Faults{})
 	}
-	r.want("free", <-ch, 200)
+	env.wantStatus("free", <-ch, 200)
 }
 
-// The answer comes after the time-out: the session plays, and the viewer that comes again with the same token
-// gets that very session.
-func TestAnswerAfterTheTimeOut(t *testing.T) {
-	r := newRig(t, 1, nil)
-	r.boxes[0].Set(sbox.Faults{AnswerMs: 900})
-	raw := r.token("paid", "j")
-	r.want("first", r.get("paid", raw), 504)
-	r.until("the late word", func() bool { return r.on(func() int { return int(r.d.Stats().Late) }) == 1 })
-	got := r.want("retry", r.get("paid", raw), 200)
-	p, err := dash.Parse([]byte(got.body))
+// A media node answers after the time-out: the session plays, and a retry with the same token gets that session.
+func TestLateAnswer(t *testing.T) {
+	env := newTestEnv(t, 1, nil)
+	env.nodes[0].Set(medianode.Faults{AnswerMs: 900})
+	raw := env.token("paid", "j")
+	env.wantStatus("first", env.get("paid", raw), 504)
+	env.waitUntil("the late answer is counted",
+		func() bool { return env.onLoop(func() int { return int(env.director.Stats().LateSuccesses) }) == 1 })
+	got := env.wantStatus("retry", env.get("paid", raw), 200)
+	manifest, err := dash.Parse([]byte(got.body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.Get(p.Media(0, 0))
+	resp, err := http.Get(manifest.Media(0, 0))
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("the adopted session does not play: %v %v", resp, err)
 	}
 	resp.Body.Close()
-	if n := r.setups(); n != 1 {
+	if n := env.setupCount(); n != 1 {
 		t.Fatalf("%d set-ups", n)
 	}
-	// Nobody fetches the next one: it is ended at the box once it has been held. (The module sends a paid
-	// session to a box that failed only once another has played there.)
-	r.boxes[0].Set(sbox.Faults{})
-	r.until("the box is trusted again", func() bool { return r.get("free", r.token("free", "f")).status == 200 })
-	r.boxes[0].Set(sbox.Faults{AnswerMs: 900})
-	r.want("other", r.get("paid", r.token("paid", "k")), 504)
-	r.until("the box runs three", func() bool { n, _ := r.boxes[0].Counts(); return n == 3 })
-	r.until("one is ended", func() bool { n, _ := r.boxes[0].Counts(); return n == 2 })
-	r.want("over", r.get("paid", r.token("paid", "k")), 410)
+	// The next one has no retry: it is ended at the media node after times.hold_ms. (The module sends a paid session
+	// to a media node that failed only after another session has played there.)
+	env.nodes[0].Set(medianode.Faults{})
+	env.waitUntil("the media node gets set-ups again", func() bool {
+		return env.get("free", env.token("free", "f")).status == 200
+	})
+	env.nodes[0].Set(medianode.Faults{AnswerMs: 900})
+	env.wantStatus("other", env.get("paid", env.token("paid", "k")), 504)
+	env.waitUntil("the media node runs three", func() bool { n, _ := env.nodes[0].Counts(); return n == 3 })
+	env.waitUntil("one is ended", func() bool { n, _ := env.nodes[0].Counts(); return n == 2 })
+	env.wantStatus("after its end", env.get("paid", env.token("paid", "k")), 410)
 }
 
-// A box that breaks off in each way, once a byte of the set-up has reached it: may have run, never again.
-func TestBoxBreaksOff(t *testing.T) {
-	for name, setup := range map[string]func(c net.Conn, b *rawBox){
-		"dies before its answer": func(c net.Conn, _ *rawBox) { c.Close() },
-		"half an answer":         func(c net.Conn, _ *rawBox) { io.WriteString(c, "HTTP/1.1 201 Created\r\nContent-Le"); c.Close() },
-		"answer without place":   func(c net.Conn, _ *rawBox) { io.WriteString(c, "HTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n") },
-		"answer that is none":    func(c net.Conn, _ *rawBox) { io.WriteString(c, "what?\r\n\r\n") },
-		"503 without its word":   func(c net.Conn, _ *rawBox) { io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
+// A media node fails in various ways after a byte of a paid set-up has reached it: the set-up may have run, so it
+// must not be sent again.
+func TestNodeFailsDuringSetup(t *testing.T) {
+	for name, setup := range map[string]func(c net.Conn, b *scriptedNode){
+		"closes before its answer": func(c net.Conn, _ *scriptedNode) { c.Close() },
+		"half an answer": func(c net.Conn, _ *scriptedNode) {
+			io.WriteString(c, "HTTP/1.1 201 Created\r\nContent-Le")
+			c.Close()
+		},
+		"201 without a location": func(c net.Conn, _ *scriptedNode) {
+			io.WriteString(c, "HTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n")
+		},
+		"not HTTP": func(c net.Conn, _ *scriptedNode) { io.WriteString(c, "what?\r\n\r\n") },
+		"503 without a proof": func(c net.Conn, _ *scriptedNode) {
+			io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 0, nil)
-			var b *rawBox
-			b = r.rawBox(func(c net.Conn, _ int) { setup(c, b) })
-			r.until("listed", func() bool { return r.on(r.d.Boxes) == 1 })
-			raw := r.token("paid", "j")
+			env := newTestEnv(t, 0, nil)
+			var node *scriptedNode
+			node = env.startScriptedNode(func(c net.Conn, _ int) { setup(c, node) })
+			env.waitUntil("the media node is listed", func() bool { return env.onLoop(env.director.NodeCount) == 1 })
+			raw := env.token("paid", "j")
 			for range 3 {
-				r.want(name, r.get("paid", raw), 502)
+				env.wantStatus(name, env.get("paid", raw), 502)
 			}
-			if n := b.count(); n != 1 {
+			if n := node.setupCount(); n != 1 {
 				t.Fatalf("set up %d times", n)
 			}
 		})
 	}
 }
 
-// A full box says that nothing ran: a paid session goes to the other box, and is refused where both are full.
-func TestFullBoxProves(t *testing.T) {
-	r := newRig(t, 2, func(_ *config.Settings, b *sbox.Config) { b.Places = 0 })
-	raw := r.token("paid", "j")
-	got := r.want("both full", r.get("paid", raw), 503)
+// A full media node states that nothing ran: a paid session is attempted at the other one, and refused if both are
+// full.
+func TestFullNodeProvesNothingRan(t *testing.T) {
+	env := newTestEnv(t, 2, func(_ *config.Settings, nodeCfg *medianode.Config) { nodeCfg.Places = 0 })
+	raw := env.token("paid", "j")
+	got := env.wantStatus("both full", env.get("paid", raw), 503)
 	if got.header.Get("Retry-After") == "" || !strings.Contains(got.body, `"retry_after_ms":`) {
 		t.Errorf("refused without advice: %s", got.body)
 	}
-	if n := r.on(func() int { return int(r.d.Stats().Attempts) }); n != 2 {
-		t.Errorf("%d attempts, there are two boxes", n)
+	if n := env.onLoop(func() int { return int(env.director.Stats().Attempts) }); n != 2 {
+		t.Errorf("%d attempts, there are two media nodes", n)
 	}
-	// Refused is a promise: the same token may begin again.
-	before := r.on(func() int { return int(r.d.Stats().Attempts) })
-	r.until("asked again", func() bool {
-		r.want("again", r.get("paid", raw), 503)
-		return r.on(func() int { return int(r.d.Stats().Attempts) }) > before
+	// A refusal guarantees that nothing ran: the same token may start a set-up again.
+	before := env.onLoop(func() int { return int(env.director.Stats().Attempts) })
+	env.waitUntil("a retry starts another attempt", func() bool {
+		env.wantStatus("again", env.get("paid", raw), 503)
+		return env.onLoop(func() int { return int(env.director.Stats().Attempts) }) > before
 	})
 }
 
-// A kept connection that the box closes: seen before the write it costs nothing; a close just as the set-up is
-// written proves nothing, so a paid one is failed and a free one tried again.
-func TestKeptConnectionCloses(t *testing.T) {
-	r := newRig(t, 0, nil)
-	var b *rawBox
-	b = r.rawBox(func(c net.Conn, put int) {
-		b.created(c)
-		if put == 1 {
-			c.Close() // after a whole answer: the connection rests in the pool and is dead
+// A media node closes an idle connection. A close seen before the write costs nothing. A close while the set-up is
+// being written proves nothing, so a paid set-up fails; one of a repeatable class would be attempted again.
+func TestIdleConnectionClosed(t *testing.T) {
+	env := newTestEnv(t, 0, nil)
+	var node *scriptedNode
+	node = env.startScriptedNode(func(c net.Conn, setup int) {
+		node.writeCreated(c)
+		if setup == 1 {
+			c.Close() // after a complete answer: the pool has a dead connection
 		}
 	})
-	r.until("listed", func() bool { return r.on(r.d.Boxes) == 1 })
-	r.want("first", r.get("paid", r.token("paid", "a")), 200)
-	r.want("on a fresh connection", r.get("paid", r.token("paid", "b")), 200)
-	if n := b.count(); n != 2 {
+	env.waitUntil("the media node is listed", func() bool { return env.onLoop(env.director.NodeCount) == 1 })
+	env.wantStatus("first", env.get("paid", env.token("paid", "a")), 200)
+	env.wantStatus("on a fresh connection", env.get("paid", env.token("paid", "b")), 200)
+	if n := node.setupCount(); n != 2 {
 		t.Fatalf("%d set-ups", n)
 	}
 
-	r = newRig(t, 0, nil)
-	b = r.rawBox(func(c net.Conn, put int) {
-		if put == 1 {
-			b.created(c)
+	env = newTestEnv(t, 0, nil)
+	node = env.startScriptedNode(func(c net.Conn, setup int) {
+		if setup == 1 {
+			node.writeCreated(c)
 			return
 		}
-		c.Close() // it has read the set-up, as a box that is closing idle connections may
+		c.Close() // after reading the set-up, as a media node that closes idle connections may do
 	})
-	r.until("listed", func() bool { return r.on(r.d.Boxes) == 1 })
-	r.want("first", r.get("paid", r.token("paid", "a")), 200)
-	r.want("as it is written", r.get("paid", r.token("paid", "b")), 502)
-	if n := b.count(); n != 2 {
+	env.waitUntil("the media node is listed", func() bool { return env.onLoop(env.director.NodeCount) == 1 })
+	env.wantStatus("first", env.get("paid", env.token("paid", "a")), 200)
+	env.wantStatus("as it is written", env.get("paid", env.token("paid", "b")), 502)
+	if n := node.setupCount(); n != 2 {
 		t.Fatalf("%d set-ups", n)
 	}
 }
 
-// A box that takes the connection and never reads: the set-up is in the kernel's hands, so it may have run.
-func TestBoxNeverReads(t *testing.T) {
-	r := newRig(t, 0, nil)
+// A media node accepts the connection and never reads: the kernel has accepted the set-up, so it may have run.
+func TestNodeNeverReads(t *testing.T) {
+	env := newTestEnv(t, 0, nil)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	beat := func(addr string) {
-		resp, err := http.Post("http://"+r.list.Addr()+"/beat", "application/json",
+		resp, err := http.Post("http://"+env.discovery.Addr()+"/beat", "application/json",
 			strings.NewReader(fmt.Sprintf(`{"addr":%q,"boot":"x"}`, addr)))
 		if err != nil {
 			t.Fatal(err)
@@ -277,71 +296,74 @@
 		resp.Body.Close()
 	}
 	beat(ln.Addr().String())
-	r.until("listed", func() bool { return r.on(r.d.Boxes) == 1 })
-	raw := r.token("paid", "j")
-	r.want("never reads", r.get("paid", raw), 504)
-	r.want("again", r.get("paid", raw), 504)
-	if n := r.on(func() int { return int(r.d.Stats().Attempts) }); n != 1 {
+	env.waitUntil("the media node is listed", func() bool { return env.onLoop(env.director.NodeCount) == 1 })
+	raw := env.token("paid", "j")
+	env.wantStatus("never reads", env.get("paid", raw), 504)
+	env.wantStatus("again", env.get("paid", raw), 504)
+	if n := env.onLoop(func() int { return int(env.director.Stats().Attempts) }); n != 1 {
 		t.Fatalf("%d attempts", n)
 	}
 }
 
-// Nobody listens at the box: a proof. A paid session is refused with advice and not failed.
+// Nobody listens at the media node, which proves that nothing ran: a paid session is refused, not failed.
 func TestConnectFails(t *testing.T) {
-	r := newRig(t, 0, nil)
+	env := newTestEnv(t, 0, nil)
 	ln, _ := net.Listen("tcp4", "127.0.0.1:0")
 	addr := ln.Addr().String()
 	ln.Close()
-	resp, err := http.Post("http://"+r.list.Addr()+"/beat", "application/json",
+	resp, err := http.Post("http://"+env.discovery.Addr()+"/beat", "application/json",
 		strings.NewReader(fmt.Sprintf(`{"addr":%q,"boot":"x"}`, addr)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	r.until("listed", func() bool { return r.on(r.d.Boxes) == 1 })
-	r.want("refused", r.get("paid", r.token("paid", "j")), 503)
+	env.waitUntil("the media node is listed", func() bool { return env.onLoop(env.director.NodeCount) == 1 })
+	env.wantStatus("refused", env.get("paid", env.token("paid", "j")), 503)
 }
 
-// The viewer closes while its set-up is out: the set-up goes on, and coming again gets the same session; where
-// nobody comes, it is ended at the box.
-func TestViewerCloses(t *testing.T) {
-	r := newRig(t, 1, nil)
-	r.boxes[0].Set(sbox.Faults{AnswerMs: 200})
-	raw := r.token("paid", "j")
+// A viewer disconnects during its set-up: the set-up goes on, and a retry gets the same session. Without a retry the
+// session is ended at the media node.
+func TestViewerDisconnects(t *testing.T) {
+	env := newTestEnv(t, 1, nil)
+	env.nodes[0].Set(medianode.Faults{AnswerMs: 200})
+	raw := env.token("paid", "j")
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan reply, 1)
-	go func() { done <- fetch(ctx, r.url+"/dash/paid-title/manifest.mpd?token="+raw) }()
-	r.until("asked", func() bool { return r.on(func() int { return int(r.d.Stats().Attempts) }) == 1 })
+	go func() { done <- fetch(ctx, env.baseURL+"/dash/paid-title/manifest.mpd?token="+raw) }()
+	env.waitUntil("the attempt is sent",
+		func() bool { return env.onLoop(func() int { return int(env.director.Stats().Attempts) }) == 1 })
 	cancel()
 	if a := <-done; a.err == nil {
 		t.Fatal("answered")
 	}
-	r.until("the box runs it", func() bool { n, _ := r.boxes[0].Counts(); return n == 1 })
-	r.want("again", r.get("paid", raw), 200)
-	if n := r.setups(); n != 1 {
+	env.waitUntil("the media node runs it", func() bool { n, _ := env.nodes[0].Counts(); return n == 1 })
+	env.wantStatus("again", env.get("paid", raw), 200)
+	if n := env.setupCount(); n != 1 {
 		t.Fatalf("%d set-ups", n)
 	}
-	r.boxes[0].Set(sbox.Faults{})
-	// At each other point of the path: nothing sent, half a request, a whole one.
-	for _, text := range []string{"", "GET /dash/free-ti", "GET /dash/free-title/manifest.mpd?token=" + r.token("free", "f") +
+	env.nodes[0].Set(medianode.Faults{})
+	// Disconnect at other points: before a request, in the middle of one, and after one.
+	for _, text := range []string{"", "GET /dash/free-ti", "GET /dash/free-title/manifest.mpd?token=" + env.token("free", "f") +
 		" HTTP/1.1\r\nHost: x\r\n\r\n"} {
-		c, err := net.Dial("tcp4", r.d.Addr())
+		c, err := net.Dial("tcp4", env.director.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		io.WriteString(c, text)
 		c.Close()
 	}
-	r.until("all are gone", func() bool { return r.on(func() int { return len(r.d.viewers) }) == 0 })
-	r.until("what nobody took is ended", func() bool { n, _ := r.boxes[0].Counts(); return n == 1 })
+	env.waitUntil("all connections are closed",
+		func() bool { return env.onLoop(func() int { return len(env.director.viewers) }) == 0 })
+	env.waitUntil("the unclaimed session is ended", func() bool { n, _ := env.nodes[0].Counts(); return n == 1 })
 }
 
+// Viewers that send or read too slowly are disconnected, and the output kept for them is limited.
 func TestSlowViewers(t *testing.T) {
-	r := newRig(t, 1, func(s *config.Settings, _ *sbox.Config) {
+	env := newTestEnv(t, 1, func(s *config.Settings, _ *medianode.Config) {
 		s.Times.HeadMs, s.Times.IdleMs, s.Times.WriteMs, s.Limits.Output = 400, 800, 400, 8192
 	})
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp4", r.d.Addr())
+		c, err := net.Dial("tcp4", env.director.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -349,7 +371,7 @@
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		return c
 	}
-	// A head that never ends, one byte at a time: told so, then cut.
+	// A request head that never ends, one byte at a time, is answered with 408 and the connection is closed.
 	c := dial()
 	go func(c net.Conn) {
 		for _, b := range []byte("GET /" + strings.Repeat("a", 1000)) {
@@ -363,25 +385,26 @@
 	if !strings.HasPrefix(string(b), "HTTP/1.1 408 ") {
 		t.Errorf("endless head: %q", b)
 	}
-	// An idle one is cut without a word.
+	// An idle connection is closed without an answer.
 	if b, err := io.ReadAll(dial()); err != nil || len(b) != 0 {
 		t.Errorf("idle: %q %v", b, err)
 	}
-	// One that reads a byte at a time gets its whole manifest.
+	// A viewer that reads a byte at a time gets its complete manifest.
 	c = dial()
-	fmt.Fprintf(c, "GET /dash/free-title/manifest.mpd?token=%s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", r.token("free", "s"))
+	fmt.Fprintf(c, "GET /dash/free-title/manifest.mpd?token=%s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
+		env.token("free", "s"))
 	var got []byte
-	one := make([]byte, 1)
+	single := make([]byte, 1)
 	for {
-		if _, err := c.Read(one); err != nil {
+		if _, err := c.Read(single); err != nil {
 			break
 		}
-		got = append(got, one[0])
+		got = append(got, single[0])
 	}
 	if !strings.HasPrefix(string(got), "HTTP/1.1 200 ") || !strings.HasSuffix(string(got), "</MPD>\n") {
 		t.Errorf("read bytewise: %q", got)
 	}
-	// One that asks without end and never reads is cut; what waits for it is bounded.
+	// A viewer that sends requests without end and never reads is disconnected; its pending output is limited.
 	c = dial()
 	c.SetWriteDeadline(time.Now().Add(10 * time.Second))
 	ask := []byte(strings.Repeat("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", 200))
@@ -390,14 +413,15 @@
 			break
 		}
 	}
-	if n := r.on(func() int { return int(r.d.Stats().CutSlow) }); n != 1 {
-		t.Errorf("%d slow readers cut", n)
+	if n := env.onLoop(func() int { return int(env.director.Stats().SlowReaders) }); n != 1 {
+		t.Errorf("%d slow readers disconnected", n)
 	}
 }
 
+// Pipelined requests are answered in order, and nothing after "Connection: close" is answered.
 func TestPipelinedRequests(t *testing.T) {
-	r := newRig(t, 1, nil)
-	c, err := net.Dial("tcp4", r.d.Addr())
+	env := newTestEnv(t, 1, nil)
+	c, err := net.Dial("tcp4", env.director.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -405,7 +429,7 @@
 	text := ""
 	for i := range 5 {
 		text += fmt.Sprintf("GET /dash/free-title/manifest.mpd?token=%s HTTP/1.1\r\nHost: x\r\n\r\nGET /none HTTP/1.1\r\nHost: x\r\n\r\n",
-			r.token("free", fmt.Sprint("p", i)))
+			env.token("free", fmt.Sprint("p", i)))
 	}
 	text += "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\nGET /never HTTP/1.1\r\nHost: x\r\n\r\n"
 	io.WriteString(c, text)
@@ -423,12 +447,12 @@
 	}
 }
 
-// What a smuggler sends is refused and nothing behind it is read, on the socket as in the parser.
-func TestSmugglingOnTheSocket(t *testing.T) {
-	r := newRig(t, 1, nil)
+// Request smuggling (RFC 9112 section 11.2): an ambiguous head is rejected and nothing after it is read.
+func TestRequestSmuggling(t *testing.T) {
+	env := newTestEnv(t, 1, nil)
 	for _, head := range []string{"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "Content-Length : 4\r\n",
 		"Content-Length: 4\r\nContent-Length: 5\r\n", "X: a\r\n b: c\r\n"} {
-		c, err := net.Dial("tcp4", r.d.Addr())
+		c, err := net.Dial("tcp4", env.director.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -442,12 +466,13 @@
 	}
 }
 
-// A body longer than said is the next request's beginning, or a broken chunk: either is refused and ends the
-// connection.
-func TestBodiesLongerThanSaid(t *testing.T) {
-	r := newRig(t, 1, nil)
-	for _, text := range []string{"Content-Length: 3\r\n\r\nabcdefgh \r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n3\r\nabcdef\r\n0\r\n\r\n"} {
-		c, err := net.Dial("tcp4", r.d.Addr())
+// A body longer than declared is taken for the next request, or is a malformed chunk: either is rejected and closes
+// the connection.
+func TestBodyLongerThanDeclared(t *testing.T) {
+	env := newTestEnv(t, 1, nil)
+	for _, text := range []string{"Content-Length: 3\r\n\r\nabcdefgh \r\n\r\n",
+		"Transfer-Encoding: chunked\r\n\r\n3\r\nabcdef\r\n0\r\n\r\n"} {
+		c, err := net.Dial("tcp4", env.director.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -461,12 +486,12 @@
 	}
 }
 
-// A viewer in the middle of a long body or head reads the answer that says so, not a reset.
-func TestTooLongIsAnswered(t *testing.T) {
-	r := newRig(t, 1, nil)
+// A viewer that is still sending an oversized body or head reads the error response, not a connection reset.
+func TestOversizedRequestIsAnswered(t *testing.T) {
+	env := newTestEnv(t, 1, nil)
 	long := strings.Repeat("x", 600<<10)
 	for text, status := range map[string]string{"Content-Length: 614400\r\n\r\n": "413", "X-Long: ": "431"} {
-		c, err := net.Dial("tcp4", r.d.Addr())
+		c, err := net.Dial("tcp4", env.director.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -480,13 +505,13 @@
 	}
 }
 
-// Players' own reports: event mode of CMCD by POST, one list a line, paced by session.
+// Players' own reports: event mode of CMCD by POST, one list per line, rate-limited by session.
 func TestReportsByPost(t *testing.T) {
-	r := newRig(t, 1, nil)
-	raw := r.token("free", "posts")
-	r.want("a session", r.get("free", raw), 200)
+	env := newTestEnv(t, 1, nil)
+	raw := env.token("free", "posts")
+	env.wantStatus("first request", env.get("free", raw), 200)
 	post := func(method, query, body string) int {
-		req, _ := http.NewRequest(method, "http://"+r.d.Addr()+"/cmcd"+query, strings.NewReader(body))
+		req, _ := http.NewRequest(method, "http://"+env.director.Addr()+"/cmcd"+query, strings.NewReader(body))
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -494,13 +519,13 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	taken := func() int { return r.on(func() int { return int(r.d.stats.ReportsTaken) }) }
-	dropped := func() int { return r.on(func() int { return int(r.d.stats.ReportsDropped) }) }
+	taken := func() int { return env.onLoop(func() int { return int(env.director.stats.ReportsAccepted) }) }
+	dropped := func() int { return env.onLoop(func() int { return int(env.director.stats.ReportsDropped) }) }
 	if s := post("POST", "?token="+raw, "v=2,e=ps,sta=p,sn=1,mtp=400\nv=2,e=t,sn=2,br=abc\n\n"); s != 204 || taken() != 2 {
 		t.Errorf("two lists: %d, %d taken", s, taken())
 	}
-	if n := r.on(func() int { return int(r.d.views.bad["br"]) }); n != 1 {
-		t.Errorf("a bad key is counted %d times", n)
+	if n := env.onLoop(func() int { return int(env.director.quality.badKeys["br"]) }); n != 1 {
+		t.Errorf("a malformed key is counted %d times", n)
 	}
 	many := strings.Repeat("v=2,e=t,sn=3\n", 100) + strings.Repeat("x", 600)
 	if s := post("POST", "?token="+raw, many); s != 204 || taken() > 2+reportBurst || dropped() < 101-reportBurst {
@@ -509,130 +534,143 @@
 	for _, c := range []struct {
 		method, query string
 		status        int
-	}{{"GET", "?token=" + raw, 405}, {"POST", "?token=" + r.token("free", "nobody"), 404}, {"POST", "", 401}, {"POST", "?token=%zz", 400},
+	}{{"GET", "?token=" + raw, 405}, {"POST", "?token=" + env.token("free", "nobody"), 404}, {"POST", "", 401},
+		{"POST", "?token=%zz", 400},
 		{"POST", "?token=" + raw[:len(raw)-2], 401}} {
 		if s := post(c.method, c.query, "v=2"); s != c.status {
 			t.Errorf("%s %.20s: %d, want %d", c.method, c.query, s, c.status)
 		}
 	}
-	if s := r.get("free", raw); s.status != 200 { // the same session, the connection in order
+	if s := env.get("free", raw); s.status != 200 { // the session is unaffected
 		t.Errorf("afterwards %d", s.status)
 	}
 }
 
-// A drain is told while set-ups wait: nothing new goes there, what plays goes on.
-func TestDrain(t *testing.T) {
-	r := newRig(t, 2, nil)
+// A media node starts to drain while set-ups are pending: no new sessions are placed there, and its sessions play on.
+func TestNodeDrain(t *testing.T) {
+	env := newTestEnv(t, 2, nil)
 	for i := range 20 {
-		r.want("before", r.get("free", r.token("free", fmt.Sprint("a", i))), 200)
+		env.wantStatus("before", env.get("free", env.token("free", fmt.Sprint("a", i))), 200)
 	}
-	busy := 0
-	for i, b := range r.boxes {
-		if n, _ := b.Counts(); n > 0 {
-			busy = i
+	busyNode := 0
+	for i, node := range env.nodes {
+		if n, _ := node.Counts(); n > 0 {
+			busyNode = i
 		}
 	}
-	r.boxes[busy].Set(sbox.Faults{AnswerMs: 150})
+	env.nodes[busyNode].Set(medianode.Faults{AnswerMs: 150})
 	var out []chan reply
 	for i := range 10 {
-		out = append(out, r.go_("free", r.token("free", fmt.Sprint("b", i))))
-	}
-	r.until("set-ups are out", func() bool { return r.on(func() int { return int(r.d.Stats().Attempts) }) >= 25 })
-	lists := r.on(func() int { return int(r.d.Stats().Lists) })
-	r.list.Drain(r.boxes[busy].Addr(), true)
-	r.until("told", func() bool { return r.on(func() int { return int(r.d.Stats().Lists) }) > lists })
+		out = append(out, env.getAsync("free", env.token("free", fmt.Sprint("b", i))))
+	}
+	env.waitUntil("set-ups are pending",
+		func() bool { return env.onLoop(func() int { return int(env.director.Stats().Attempts) }) >= 25 })
+	lists := env.onLoop(func() int { return int(env.director.Stats().NodeLists) })
+	env.discovery.Drain(env.nodes[busyNode].Addr(), true)
+	env.waitUntil("the node list has arrived",
+		func() bool { return env.onLoop(func() int { return int(env.director.Stats().NodeLists) }) > lists })
 	for _, ch := range out {
-		r.want("out at the drain", <-ch, 200)
+		env.wantStatus("pending at the drain", <-ch, 200)
 	}
-	_, before := r.boxes[busy].Counts()
+	_, before := env.nodes[busyNode].Counts()
 	for i := range 20 {
-		r.want("after", r.get("free", r.token("free", fmt.Sprint("c", i))), 200)
+		env.wantStatus("after", env.get("free", env.token("free", fmt.Sprint("c", i))), 200)
 	}
-	if playing, after := r.boxes[busy].Counts(); after != before || playing == 0 {
-		t.Fatalf("%d set-ups at the draining box, %d sessions play there", after-before, playing)
+	if playing, after := env.nodes[busyNode].Counts(); after != before || playing == 0 {
+		t.Fatalf("%d set-ups at the draining media node, %d sessions play there", after-before, playing)
 	}
 }
 
-// A lost box ends its sessions: a free one begins again elsewhere, a paid one does not.
-func TestLostBox(t *testing.T) {
-	r := newRig(t, 1, nil)
-	paid, free := r.token("paid", "p"), r.token("free", "f")
-	r.want("paid", r.get("paid", paid), 200)
-	first := r.want("free", r.get("free", free), 200)
-	r.boxes[0].Close()
-	r.until("the sessions are given up", func() bool { return r.on(func() int { return int(r.d.Stats().Lost) }) == 2 })
-	r.startBox()
-	r.until("the new box is told", func() bool { return r.on(r.d.Boxes) == 1 && r.on(func() int { return int(r.d.Stats().Lists) }) > 1 })
-	r.want("paid again", r.get("paid", paid), 410)
-	r.until("free again", func() bool {
-		got := r.get("free", free)
-		return got.status == 200 && base(got.body) != base(first.body)
+// The loss of a media node ends its sessions: a repeatable one can be set up again elsewhere, a paid one cannot.
+func TestNodeLost(t *testing.T) {
+	env := newTestEnv(t, 1, nil)
+	paid, free := env.token("paid", "p"), env.token("free", "f")
+	env.wantStatus("paid", env.get("paid", paid), 200)
+	first := env.wantStatus("free", env.get("free", free), 200)
+	env.nodes[0].Close()
+	env.waitUntil("the sessions are given up",
+		func() bool { return env.onLoop(func() int { return int(env.director.Stats().LostSessions) }) == 2 })
+	env.startNode()
+	env.waitUntil("the new media node is listed", func() bool {
+		return env.onLoop(env.director.NodeCount) == 1 &&
+			env.onLoop(func() int { return int(env.director.Stats().NodeLists) }) > 1
+	})
+	env.wantStatus("paid again", env.get("paid", paid), 410)
+	env.waitUntil("free again", func() bool {
+		got := env.get("free", free)
+		return got.status == 200 && mediaURL(got.body) != mediaURL(first.body)
 	})
 }
 
-// The list service goes away and comes back: the last list stays in force meanwhile.
-func TestListServiceGoes(t *testing.T) {
-	r := newRig(t, 1, nil)
-	r.list.Close()
-	r.until("missed", func() bool { return strings.Contains(r.log.String(), "box list is not at hand") })
-	r.want("on the last list", r.get("free", r.token("free", "a")), 200)
+// The discovery service becomes unavailable: the last node list stays in force.
+func TestDiscoveryUnavailable(t *testing.T) {
+	env := newTestEnv(t, 1, nil)
+	env.discovery.Close()
+	env.waitUntil("the failure is logged", func() bool {
+		return strings.Contains(env.log.String(), "node list unavailable")
+	})
+	env.wantStatus("on the last list", env.get("free", env.token("free", "a")), 200)
 }
 
-// SIGTERM's way: what is out is answered, nothing new is taken, sessions are ended at the boxes, all within the
-// stated time.
+// An orderly shutdown, as on SIGTERM: pending requests are answered, new ones refused, and sessions ended at their
+// media nodes, within the configured times.
 func TestStop(t *testing.T) {
-	r := newRig(t, 1, nil)
-	r.want("plays", r.get("free", r.token("free", "a")), 200)
-	r.boxes[0].Set(sbox.Faults{AnswerMs: 200})
-	kept, err := net.Dial("tcp4", r.d.Addr())
+	env := newTestEnv(t, 1, nil)
+	env.wantStatus("plays", env.get("free", env.token("free", "a")), 200)
+	env.nodes[0].Set(medianode.Faults{AnswerMs: 200})
+	idleConn, err := net.Dial("tcp4", env.director.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer kept.Close()
-	fmt.Fprintf(kept, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-	out := r.go_("paid", r.token("paid", "b"))
-	r.until("out", func() bool { return r.on(func() int { return int(r.d.Stats().Attempts) }) == 2 })
-	began := time.Now()
-	r.d.Stop()
-	r.want("what was out", <-out, 200)
-	r.until("the door is closed", func() bool { // new sessions are refused until then, and none is taken
-		a := r.get("free", r.token("free", "late"))
+	defer idleConn.Close()
+	fmt.Fprintf(idleConn, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+	out := env.getAsync("paid", env.token("paid", "b"))
+	env.waitUntil("the set-up is pending",
+		func() bool { return env.onLoop(func() int { return int(env.director.Stats().Attempts) }) == 2 })
+	start := time.Now()
+	env.director.Stop()
+	env.wantStatus("the pending request", <-out, 200)
+	env.waitUntil("the listener is closed", func() bool { // until then new sessions are refused
+		a := env.get("free", env.token("free", "late"))
 		if a.err == nil && (a.status != 503 || !strings.Contains(a.body, "refused-stopping")) {
-			t.Fatalf("while it stops: %d %s", a.status, a.body)
+			t.Fatalf("during the shutdown: %d %s", a.status, a.body)
 		}
 		return a.err != nil
 	})
-	if n := r.setups(); n != 2 {
+	if n := env.setupCount(); n != 2 {
 		t.Errorf("%d set-ups, one after the stop", n)
 	}
 	select {
-	case err := <-r.ended:
+	case err := <-env.loopEnded:
 		if err != nil {
 			t.Fatal(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("did not stop\n%s", r.log)
+		t.Fatalf("did not stop\n%s", env.log)
 	}
-	if took := time.Since(began); took > 2500*time.Millisecond {
-		t.Errorf("stopped after %v; finish, play and end are 1.6 s together", took)
+	if elapsed := time.Since(start); elapsed > 2500*time.Millisecond {
+		t.Errorf("stopped after %v; times.finish_ms, play_ms and end_ms add up to 1.6 s", elapsed)
 	}
-	r.until("sessions are ended at the box", func() bool { n, _ := r.boxes[0].Counts(); return n == 0 })
-	kept.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := io.ReadAll(kept); err != nil {
-		t.Errorf("a resting connection is not ended in order: %v", err)
+	env.waitUntil("sessions are ended at the media node", func() bool {
+		n, _ := env.nodes[0].Counts()
+		return n == 0
+	})
+	idleConn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if _, err := io.ReadAll(idleConn); err != nil {
+		t.Errorf("an idle connection is not closed cleanly: %v", err)
 	}
 }
 
-// A session goes on after its token has expired, to its own end; a new one does not begin with it.
-func TestTokenExpiresMidClip(t *testing.T) {
-	r := newRig(t, 1, func(s *config.Settings, _ *sbox.Config) { s.Tokens.SkewMs = 0 })
-	raw := r.tokenFor("free", "short", 700*time.Millisecond)
-	got := r.want("begins", r.get("free", raw), 200)
-	p, err := dash.Parse([]byte(got.body))
+// A session continues after its token has expired; a new one cannot be started with that token.
+func TestTokenExpiresDuringSession(t *testing.T) {
+	env := newTestEnv(t, 1, func(s *config.Settings, _ *medianode.Config) { s.Tokens.SkewMs = 0 })
+	raw := env.tokenFor("free", "short", 700*time.Millisecond)
+	got := env.wantStatus("begins", env.get("free", raw), 200)
+	manifest, err := dash.Parse([]byte(got.body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.until("the token has expired", func() bool { return r.get("free", raw).status == 401 })
+	env.waitUntil("the token has expired", func() bool { return env.get("free", raw).status == 401 })
 	status := func(url string) int {
 		resp, err := http.Get(url)
 		if err != nil {
@@ -641,21 +679,22 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	if s := status(p.Media(0, 3)); s != 200 {
+	if s := status(manifest.Media(0, 3)); s != 200 {
 		t.Errorf("its own session: %d", s)
 	}
-	other := r.want("other", r.get("free", r.token("free", "other")), 200)
-	q, _ := dash.Parse([]byte(other.body))
-	if s := status(strings.ReplaceAll(q.Media(0, 3), "token=", "x=") + "&token=" + raw); s != 403 {
+	other := env.wantStatus("other", env.get("free", env.token("free", "other")), 200)
+	otherManifest, _ := dash.Parse([]byte(other.body))
+	if s := status(strings.ReplaceAll(otherManifest.Media(0, 3), "token=", "x=") + "&token=" + raw); s != 403 {
 		t.Errorf("another's session: %d", s)
 	}
-	if s := status(strings.Replace(p.Media(0, 3), "token=", "x=", 1)); s != 401 {
+	if s := status(strings.Replace(manifest.Media(0, 3), "token=", "x=", 1)); s != 401 {
 		t.Errorf("without a token: %d", s)
 	}
 }
 
+// Browsers need CORS headers, and players use HEAD and range requests.
 func TestBrowserPlayers(t *testing.T) {
-	r := newRig(t, 1, nil)
+	env := newTestEnv(t, 1, nil)
 	do := func(method, url string, head ...string) *http.Response {
 		req, _ := http.NewRequest(method, url, nil)
 		for i := 0; i < len(head); i += 2 {
@@ -668,28 +707,31 @@
 		resp.Body.Close()
 		return resp
 	}
-	raw := r.token("free", "a")
-	url := r.url + "/dash/free-title/manifest.mpd"
-	if p := do("OPTIONS", url, "Origin", "http://page", "Access-Control-Request-Headers", "authorization"); p.StatusCode != 204 ||
+	raw := env.token("free", "a")
+	url := env.baseURL + "/dash/free-title/manifest.mpd"
+	if p := do("OPTIONS", url,
+		"Origin", "http://page", "Access-Control-Request-Headers", "authorization"); p.StatusCode != 204 ||
 		!strings.Contains(p.Header.Get("Access-Control-Allow-Headers"), "Authorization") {
 		t.Errorf("preflight: %v", p.Header)
 	}
-	if p := do("GET", url, "Authorization", "bearer "+raw); p.StatusCode != 200 || p.Header.Get("Access-Control-Allow-Origin") != "*" {
+	if p := do("GET", url, "Authorization", "bearer "+raw); p.StatusCode != 200 ||
+		p.Header.Get("Access-Control-Allow-Origin") != "*" {
 		t.Errorf("bearer: %d %v", p.StatusCode, p.Header)
 	}
 	if p := do("HEAD", url+"?token="+raw); p.StatusCode != 405 {
 		t.Errorf("HEAD of a manifest: %d", p.StatusCode)
 	}
-	mpd, _ := dash.Parse([]byte(r.get("free", raw).body))
-	seg := mpd.Media(0, 0)
-	if p := do("HEAD", seg); p.StatusCode != 200 || p.ContentLength != 5000 || p.Header.Get("Access-Control-Allow-Origin") != "*" {
+	mpd, _ := dash.Parse([]byte(env.get("free", raw).body))
+	segment := mpd.Media(0, 0)
+	if p := do("HEAD", segment); p.StatusCode != 200 || p.ContentLength != 5000 ||
+		p.Header.Get("Access-Control-Allow-Origin") != "*" {
 		t.Errorf("HEAD of a segment: %d %d", p.StatusCode, p.ContentLength)
 	}
-	if p := do("GET", seg, "Range", "bytes=100-199"); p.StatusCode != 206 || p.ContentLength != 100 ||
+	if p := do("GET", segment, "Range", "bytes=100-199"); p.StatusCode != 206 || p.ContentLength != 100 ||
 		p.Header.Get("Content-Range") != "bytes 100-199/5000" {
 		t.Errorf("range: %d %v", p.StatusCode, p.Header)
 	}
-	if p := do("OPTIONS", seg); p.StatusCode != 204 {
+	if p := do("OPTIONS", segment); p.StatusCode != 204 {
 		t.Errorf("preflight of a segment: %d", p.StatusCode)
 	}
 }
--- a/internal/director/seen_test.go
+++ b/internal/director/observability_test.go
@@ -13,27 +13,28 @@
 	"time"
 
 	"headmill/internal/config"
-	sbox "headmill/internal/standin/medianode"
+	"headmill/internal/standin/medianode"
 	"headmill/internal/trace"
 )
 
-// A sampled session's trace tells its attempts, what its player reported and its end; a scrape tells the counts.
+// A sampled session's trace has its attempts, its player's reports and its end; a scrape has the counters.
 func TestTraceAndMetrics(t *testing.T) {
-	r := newRig(t, 2, nil)
+	env := newTestEnv(t, 2, nil)
 	path := filepath.Join(t.TempDir(), "trace.json")
 	tr, err := trace.Open(path, "d0", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.on(func() int { r.d.Trace = tr; return 0 })
-	raw := r.token("free", "traced")
-	r.want("a session", r.get("free", raw), 200)
-	resp, err := http.Post("http://"+r.d.Addr()+"/cmcd?token="+raw, "application/cmcd", strings.NewReader("v=2,sn=1,mtp=100,bsd=1300,bs"))
+	env.onLoop(func() int { env.director.Trace = tr; return 0 })
+	raw := env.token("free", "traced")
+	env.wantStatus("first request", env.get("free", raw), 200)
+	resp, err := http.Post("http://"+env.director.Addr()+"/cmcd?token="+raw, "application/cmcd",
+		strings.NewReader("v=2,sn=1,mtp=100,bsd=1300,bs"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	addr, stop, err := r.d.ServeMetrics("127.0.0.1:0")
+	addr, stop, err := env.director.ServeMetrics("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,21 +48,25 @@
 		b, _ := io.ReadAll(resp.Body)
 		return string(b)
 	}
-	r.until("the report in the figures", func() bool { return strings.Contains(scrape(), `headmill_reports_total{verdict="counted"} 1`) })
+	env.waitUntil("the report is counted", func() bool {
+		return strings.Contains(scrape(), `headmill_reports_total{verdict="counted"} 1`)
+	})
 	text := scrape()
-	for _, want := range []string{`headmill_orders_total{result="played"} 1`, `headmill_sessions{state="plays"} 1`, "headmill_boxes 2",
-		`headmill_memory_used{purpose="sessions"} 1`, "headmill_attempts_total 1", "go_goroutines"} {
+	for _, want := range []string{`headmill_orders_total{result="played"} 1`, `headmill_sessions{state="plays"} 1`,
+		"headmill_boxes 2", `headmill_memory_used{purpose="sessions"} 1`, "headmill_attempts_total 1", "go_goroutines"} {
 		if !strings.Contains(text, want+"\n") && !strings.Contains(text, want+" ") {
 			t.Errorf("the scrape lacks %s", want)
 		}
 	}
-	req, _ := http.NewRequest("DELETE", "http://"+r.d.Addr()+"/dash/free-title/manifest.mpd?token="+raw, nil)
+	req, _ := http.NewRequest("DELETE", "http://"+env.director.Addr()+"/dash/free-title/manifest.mpd?token="+raw, nil)
 	if resp, err = http.DefaultClient.Do(req); err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	r.until("the end", func() bool { return strings.Contains(scrape(), `headmill_sessions{state="plays"} 0`) })
-	r.on(func() int { r.d.Trace = nil; return 0 })
+	env.waitUntil("the session has ended", func() bool {
+		return strings.Contains(scrape(), `headmill_sessions{state="plays"} 0`)
+	})
+	env.onLoop(func() int { env.director.Trace = nil; return 0 })
 	if err := tr.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -78,24 +83,28 @@
 	for _, l := range lines {
 		story += fmt.Sprintln(l.Text)
 	}
-	for _, want := range []string{"session begins", "attempt begins box=127.0.0.1:", "outcome=plays", "  report stall_ms=1300 starved=true", "end=ended here"} {
+	for _, want := range []string{"session begins", "attempt begins box=127.0.0.1:", "outcome=plays",
+		"  report stall_ms=1300 starved=true", "end=ended here"} {
 		if !strings.Contains(story, want) {
-			t.Errorf("the story lacks %q:\n%s", want, story)
+			t.Errorf("the trace lacks %q:\n%s", want, story)
 		}
 	}
 }
 
-// Reports a second that one director takes over sockets: 64 sessions' players post sixteen lists at a time.
+// BenchmarkReportsPosted measures how many reports per second one director accepts over sockets: the players of 64
+// sessions post sixteen reports at a time.
 func BenchmarkReportsPosted(b *testing.B) {
-	r := newRig(b, 1, func(s *config.Settings, x *sbox.Config) { s.Times.ReportMs, x.Places, x.LinkKB = 1, 1000, 1e6 })
+	env := newTestEnv(b, 1, func(s *config.Settings, nodeCfg *medianode.Config) {
+		s.Times.ReportMs, nodeCfg.Places, nodeCfg.LinkKB = 1, 1000, 1e6
+	})
 	var conns []*bufio.ReadWriter
 	var heads []string
 	for i := range 64 {
-		raw := r.token("free", fmt.Sprint("bench", i))
-		if got := r.get("free", raw); got.status != 200 {
+		raw := env.token("free", fmt.Sprint("bench", i))
+		if got := env.get("free", raw); got.status != 200 {
 			b.Fatal(got.status, got.body)
 		}
-		c, err := net.Dial("tcp4", r.d.Addr())
+		c, err := net.Dial("tcp4", env.director.Addr())
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -103,7 +112,7 @@
 		conns = append(conns, bufio.NewReadWriter(bufio.NewReader(c), bufio.NewWriter(c)))
 		heads = append(heads, "POST /cmcd?token="+raw+" HTTP/1.1\r\nHost: x\r\nContent-Length: ")
 	}
-	before := r.on(func() int { return int(r.d.stats.ReportsTaken) })
+	before := env.onLoop(func() int { return int(env.director.stats.ReportsAccepted) })
 	b.ResetTimer()
 	number := 0
 	for n := 0; n < b.N; n += 16 * len(conns) {
@@ -124,7 +133,8 @@
 		}
 	}
 	b.StopTimer()
-	taken := r.on(func() int { return int(r.d.stats.ReportsTaken) }) - before
+	taken := env.onLoop(func() int { return int(env.director.stats.ReportsAccepted) }) - before
 	b.ReportMetric(float64(taken)/b.Elapsed().Seconds(), "taken/s")
-	b.ReportMetric(float64(r.on(func() int { return int(r.d.views.q.Bytes()) }))/64, "bytes/session")
+	b.ReportMetric(float64(env.onLoop(func() int { return int(env.director.quality.tracker.Bytes()) }))/64,
+		"bytes/session")
 }
--- a/internal/director/operator.go
+++ b/internal/director/operator.go
@@ -16,33 +16,33 @@
 	pb "headmill/internal/api/operatorv1"
 )
 
-// operator serves the operators' API. Its calls come on goroutines of the library; each hands its question to
-// the loop and waits, the loop never waits for them.
-type operator struct {
+// operatorServer implements the operators' gRPC API. Calls arrive on goroutines of the gRPC library; each posts a
+// function to the loop and waits for its result. The loop never waits for a call.
+type operatorServer struct {
 	pb.UnimplementedOperatorServer
-	d *Director
+	director *Director
 }
 
-// ServeOperator listens for the operators' API until stop is called. It returns the address.
+// ServeOperator serves the operators' API until stop is called. It returns the address.
 func (d *Director) ServeOperator(addr string) (at string, stop func(), err error) {
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return "", nil, fmt.Errorf("director: operators' API: %w", err)
 	}
 	s := grpc.NewServer(grpc.MaxRecvMsgSize(1<<16), grpc.ConnectionTimeout(5*time.Second))
-	pb.RegisterOperatorServer(s, &operator{d: d})
+	pb.RegisterOperatorServer(s, &operatorServer{director: d})
 	go s.Serve(ln)
 	return ln.Addr().String(), s.Stop, nil
 }
 
-// ask runs f on the loop. A call whose time is over does not wait for it.
-func ask[T any](ctx context.Context, d *Director, f func() (T, error)) (T, error) {
+// runOnLoop runs f on the loop's goroutine and returns its result, or the error of ctx once that is done.
+func runOnLoop[T any](ctx context.Context, d *Director, f func() (T, error)) (T, error) {
 	type answer struct {
 		v   T
 		err error
 	}
 	ch := make(chan answer, 1)
-	d.l.Post(func() {
+	d.loop.Post(func() {
 		v, err := f()
 		ch <- answer{v, err}
 	})
@@ -55,61 +55,89 @@
 	}
 }
 
-// Quality answers with this director's part.
-func (o *operator) Quality(ctx context.Context, r *pb.QualityRequest) (*pb.QualityReply, error) {
-	dim, ok := quality.ParseDimension(r.Dimension)
+// Quality returns this director's share of the quality data.
+func (o *operatorServer) Quality(ctx context.Context, req *pb.QualityRequest) (*pb.QualityReply, error) {
+	dim, ok := quality.ParseDimension(req.Dimension)
 	if !ok {
-		return nil, status.Errorf(codes.InvalidArgument, "dimension %q is not rack, box, title, class, brand or family", r.Dimension)
+		return nil, status.Errorf(codes.InvalidArgument,
+			"dimension %q is not rack, box, title, class, brand or family", req.Dimension)
 	}
-	d := o.d
-	return ask(ctx, d, func() (*pb.QualityReply, error) {
-		now, from := d.l.Now(), 0.0
-		if r.LastMs > 0 {
-			from = now - r.LastMs
+	d := o.director
+	return runOnLoop(ctx, d, func() (*pb.QualityReply, error) {
+		now, from := d.loop.Now(), 0.0
+		if req.LastMs > 0 {
+			from = now - req.LastMs
 		}
-		out := &pb.QualityReply{Director: d.cfg.Director.Name, Reports: map[string]uint64{}, BadKeys: map[string]uint64{},
-			Sessions: int64(d.views.q.Sessions()), TooLateByMs: d.views.q.LateBy()}
-		for k, g := range d.views.q.Recent(dim, from, d.views.windows) {
-			start, share := g.Encode()
-			out.Groups = append(out.Groups, &pb.Group{Name: d.views.names[k], Reports: g.Reports, Starts: g.Starts, StallMs: g.StallMs,
-				Stalled: g.Stalled, Score: g.Score, Lost: g.Lost, Switches: g.Switches, StartUp: start, Share: share})
+		out := &pb.QualityReply{
+			Director:    d.cfg.Director.Name,
+			Reports:     map[string]uint64{},
+			BadKeys:     map[string]uint64{},
+			Sessions:    int64(d.quality.tracker.Sessions()),
+			TooLateByMs: d.quality.tracker.LateBy(),
+		}
+		for key, group := range d.quality.tracker.Recent(dim, from, d.quality.closedWindows) {
+			start, share := group.Encode()
+			out.Groups = append(out.Groups, &pb.Group{
+				Name:     d.quality.groupNames[key],
+				Reports:  group.Reports,
+				Starts:   group.Starts,
+				StallMs:  group.StallMs,
+				Stalled:  group.Stalled,
+				Score:    group.Score,
+				Lost:     group.Lost,
+				Switches: group.Switches,
+				StartUp:  start,
+				Share:    share,
+			})
 		}
 		slices.SortFunc(out.Groups, func(a, b *pb.Group) int { return cmp.Compare(a.Name, b.Name) })
-		for _, f := range d.views.q.Findings() {
-			out.Findings = append(out.Findings, &pb.Finding{Dimension: f.Dim.String(), Name: d.views.names[f.GroupKey], Evidence: f.String(),
-				SinceMs: now - f.Since, Load: f.Load, Sessions: int64(f.Sessions), Short: int64(f.Short)})
+		for _, f := range d.quality.tracker.Findings() {
+			out.Findings = append(out.Findings, &pb.Finding{
+				Dimension: f.Dim.String(),
+				Name:      d.quality.groupNames[f.GroupKey],
+				Evidence:  f.String(),
+				SinceMs:   now - f.Since,
+				Load:      f.Load,
+				Sessions:  int64(f.Sessions),
+				Short:     int64(f.Short),
+			})
 		}
-		for v, n := range d.views.q.Counts() {
+		for v, n := range d.quality.tracker.Counts() {
 			out.Reports[v.String()] = n
 		}
-		for k, n := range d.views.bad {
+		for k, n := range d.quality.badKeys {
 			out.BadKeys[k] = n
 		}
 		return out, nil
 	})
 }
 
-// Session answers with one session's story.
-func (o *operator) Session(ctx context.Context, r *pb.SessionRequest) (*pb.SessionReply, error) {
-	d := o.d
-	return ask(ctx, d, func() (*pb.SessionReply, error) {
-		id, state, known := d.ledger.Lookup(r.Jti)
+// Session returns the state and the timeline of one session.
+func (o *operatorServer) Session(ctx context.Context, req *pb.SessionRequest) (*pb.SessionReply, error) {
+	d := o.director
+	return runOnLoop(ctx, d, func() (*pb.SessionReply, error) {
+		id, state, known := d.ledger.Lookup(req.Jti)
 		out := &pb.SessionReply{Known: known}
 		if !known {
 			return out, nil
 		}
 		out.State = state.String()
 		if s := d.sessions[id]; s != nil {
-			out.Session, out.Rung = d.name(s), int32(s.rung)
-			if s.server != 0 {
-				out.Box = d.fleet.Addr(s.server)
+			out.Session, out.Rung = d.sessionName(s), int32(s.rung)
+			if s.node != 0 {
+				out.Box = d.nodeList.Addr(s.node)
 			}
 		}
-		spans, partly, skew, _ := d.views.q.Timeline(uint64(id))
-		out.Partly, out.SkewMs = partly, skew
-		for _, x := range spans {
-			out.Spans = append(out.Spans, &pb.Span{AgoMs: d.l.Now() - x.From, Rack: d.views.names[quality.GroupKey{Dim: quality.ByRack, ID: x.Rack}],
-				Box: d.views.names[quality.GroupKey{Dim: quality.ByNode, ID: x.Node}], Rung: int32(x.Rung), Kb: x.RateKB})
+		spans, partly, skewMs, _ := d.quality.tracker.Timeline(uint64(id))
+		out.Partly, out.SkewMs = partly, skewMs
+		for _, span := range spans {
+			out.Spans = append(out.Spans, &pb.Span{
+				AgoMs: d.loop.Now() - span.From,
+				Rack:  d.quality.groupNames[quality.GroupKey{Dim: quality.ByRack, ID: span.Rack}],
+				Box:   d.quality.groupNames[quality.GroupKey{Dim: quality.ByNode, ID: span.Node}],
+				Rung:  int32(span.Rung),
+				Kb:    span.RateKB,
+			})
 		}
 		return out, nil
 	})
--- a/internal/director/quality.go
+++ b/internal/director/quality.go
@@ -15,206 +15,290 @@
 	"headmill/internal/history"
 )
 
-// views is what the director keeps for decide/quality: numbers of boxes and names of groups.
-type views struct {
-	q       *quality.Tracker
-	in      []quality.Event
-	names   map[quality.GroupKey]string
-	told    float64 // when findings were last told to the module
-	unknown uint64  // keys of reports that were passed over
-	bad     map[string]uint64
-	windows []*quality.Window // closed, newest last
+// qualityState is the director's state around decide/quality.
+type qualityState struct {
+	tracker        *quality.Tracker
+	events         []quality.Event
+	groupNames     map[quality.GroupKey]string
+	lastFeedbackAt float64 // when findings were last passed to the module
+	unknownKeys    uint64  // number of unknown keys in reports
+	badKeys        map[string]uint64
+	closedWindows  []*quality.Window // newest last
 }
 
-// keepWindows is how many closed windows are kept for queries; older ones are gone until there is a history.
-const keepWindows = 60
+// maxClosedWindows is the number of closed windows kept for queries. Older ones are only in the history, if there is
+// one.
+const maxClosedWindows = 60
 
-func (d *Director) setViews() {
-	c := &d.cfg.Quality
-	d.views = views{names: map[quality.GroupKey]string{}, bad: map[string]uint64{}, q: quality.New(quality.Config{WindowMs: c.WindowMs,
-		AllowedLatenessMs: c.LateMs, MaxClockSkewMs: c.SkewMs, SessionRetentionMs: c.KeepMs, MaxSpans: 64, DedupWindow: 64, MaxGroups: c.Groups, MaxBytes: int64(d.cfg.Limits.Timelines),
-		RungWorth: d.cfg.Ladder.Worth, SwitchCost: c.SwitchCost, StallCost: c.StallCost, StartupCost: c.StartCost,
-		ShortfallBelow: c.ShortUnder, DetectIntervalMs: c.LookMs, ConfirmMs: c.ConfirmMs, MinSessions: c.MinSessions, MinScore: c.MinScore})}
+// feedbackIntervalMs is the minimum time, in ms, between two rounds of feedback about findings to the module.
+const feedbackIntervalMs = 1000
+
+// maxBadKeys limits the distinct malformed report keys that are counted, as their names come from players.
+const maxBadKeys = 64
+
+// initQuality creates the quality tracker from the settings.
+func (d *Director) initQuality() {
+	settings := &d.cfg.Quality
+	d.quality = qualityState{
+		groupNames: map[quality.GroupKey]string{},
+		badKeys:    map[string]uint64{},
+		tracker: quality.New(quality.Config{
+			WindowMs:           settings.WindowMs,
+			AllowedLatenessMs:  settings.LateMs,
+			MaxClockSkewMs:     settings.SkewMs,
+			SessionRetentionMs: settings.KeepMs,
+			MaxSpans:           64,
+			DedupWindow:        64,
+			MaxGroups:          settings.Groups,
+			MaxBytes:           int64(d.cfg.Limits.Timelines),
+			RungWorth:          d.cfg.Ladder.Worth,
+			SwitchCost:         settings.SwitchCost,
+			StallCost:          settings.StallCost,
+			StartupCost:        settings.StartCost,
+			ShortfallBelow:     settings.ShortUnder,
+			DetectIntervalMs:   settings.LookMs,
+			ConfirmMs:          settings.ConfirmMs,
+			MinSessions:        settings.MinSessions,
+			MinScore:           settings.MinScore,
+		}),
+	}
 }
 
-// name remembers what a group's number stands for.
-func (d *Director) group(dim quality.Dimension, name string) uint64 {
+// groupID returns the number of a group and records its name for it.
+func (d *Director) groupID(dim quality.Dimension, name string) uint64 {
 	id := xxhash.Sum64String(name)
 	k := quality.GroupKey{Dim: dim, ID: id}
-	if _, ok := d.views.names[k]; !ok && len(d.views.names) < 8*d.cfg.Quality.Groups {
-		d.views.names[k] = name
+	if _, ok := d.quality.groupNames[k]; !ok && len(d.quality.groupNames) < 8*d.cfg.Quality.Groups {
+		d.quality.groupNames[k] = name
 	}
 	return id
 }
 
-func (d *Director) placeOf(s *session) quality.Place {
-	addr := d.fleet.Addr(s.server)
-	return quality.Place{Rack: d.group(quality.ByRack, strconv.Itoa(d.fleet.Cell(s.server)%d.cfg.Fleet.Racks)),
-		Node: d.group(quality.ByNode, addr), Rung: s.rung, RateKB: d.cfg.Ladder.RateKB[s.rung] * d.cfg.Classes[s.title.class].RateScale}
+// qualityPlace returns where a session plays and at which rung.
+func (d *Director) qualityPlace(s *session) quality.Place {
+	addr := d.nodeList.Addr(s.node)
+	return quality.Place{
+		Rack:   d.groupID(quality.ByRack, strconv.Itoa(d.nodeList.Cell(s.node)%d.cfg.Fleet.Racks)),
+		Node:   d.groupID(quality.ByNode, addr),
+		Rung:   s.rung,
+		RateKB: d.cfg.Ladder.RateKB[s.rung] * d.cfg.Classes[s.title.class].RateScale,
+	}
 }
 
-// viewed tells decide/quality that a session plays, with its start-up time where this director knows it.
-func (d *Director) viewed(s *session, kind quality.EventKind) {
-	d.views.in = append(d.views.in, quality.Event{Kind: kind, Session: uint64(s.id), At: d.l.Now(), Place: d.placeOf(s),
-		Title: d.group(quality.ByTitle, s.title.Name), Class: d.group(quality.ByClass, s.title.Class),
-		Tenant: d.group(quality.ByTenant, s.claims.brand), Family: d.group(quality.ByPlayerFamily, s.claims.family), StartupMs: d.l.Now() - s.asked})
+// recordSessionStart reports to decide/quality that a session plays, with its start-up time, which counts for
+// quality.SessionStarted only.
+func (d *Director) recordSessionStart(s *session, kind quality.EventKind) {
+	d.quality.events = append(d.quality.events, quality.Event{
+		Kind:      kind,
+		Session:   uint64(s.id),
+		At:        d.loop.Now(),
+		Place:     d.qualityPlace(s),
+		Title:     d.groupID(quality.ByTitle, s.title.Name),
+		Class:     d.groupID(quality.ByClass, s.title.Class),
+		Tenant:    d.groupID(quality.ByTenant, s.claims.tenant),
+		Family:    d.groupID(quality.ByPlayerFamily, s.claims.playerFamily),
+		StartupMs: d.loop.Now() - s.requestedAt,
+	})
 }
 
-func (d *Director) viewRung(s *session) {
-	d.views.in = append(d.views.in, quality.Event{Kind: quality.RungChanged, Session: uint64(s.id), At: d.l.Now(), Place: d.placeOf(s)})
+// recordRungChange reports a session's new rung to decide/quality.
+func (d *Director) recordRungChange(s *session) {
+	d.quality.events = append(d.quality.events, quality.Event{
+		Kind:    quality.RungChanged,
+		Session: uint64(s.id),
+		At:      d.loop.Now(),
+		Place:   d.qualityPlace(s),
+	})
 }
 
-func (d *Director) viewEnd(s *session) {
-	d.views.in = append(d.views.in, quality.Event{Kind: quality.SessionEnded, Session: uint64(s.id), At: d.l.Now()})
+// recordSessionEnd reports to decide/quality that a session ended.
+func (d *Director) recordSessionEnd(s *session) {
+	d.quality.events = append(d.quality.events, quality.Event{
+		Kind:    quality.SessionEnded,
+		Session: uint64(s.id),
+		At:      d.loop.Now(),
+	})
 }
 
-// seen takes one report of a player. box is the box that handed it on; 0: it came straight. ago is how long the
-// box had it, ms.
-func (d *Director) seen(s *session, text string, box headmill.NodeID, ago float64) {
+// recordReport accepts one report of a player. node is the media node that forwarded it, or 0 if it came directly.
+// ageMs is how long the node has held it.
+func (d *Director) recordReport(s *session, text string, node headmill.NodeID, ageMs float64) {
 	r := cmcd.Parse(text)
-	d.views.unknown += uint64(len(r.Unknown))
+	d.quality.unknownKeys += uint64(len(r.Unknown))
 	for _, k := range r.Bad {
-		if _, ok := d.views.bad[k]; ok || len(d.views.bad) < 64 {
-			d.views.bad[k]++
+		if _, ok := d.quality.badKeys[k]; ok || len(d.quality.badKeys) < maxBadKeys {
+			d.quality.badKeys[k]++
 		}
 	}
-	ev := quality.PlayerReport{At: r.At, ArrivedAt: d.l.Now() - math.Max(ago, 0), Sequence: r.Number, ReceivedKB: r.Throughput / 8, BufferEmpty: r.Starved,
-		Rung: -1}
+	ev := quality.PlayerReport{
+		At:          r.At,
+		ArrivedAt:   d.loop.Now() - math.Max(ageMs, 0),
+		Sequence:    r.Number,
+		ReceivedKB:  r.Throughput / 8,
+		BufferEmpty: r.Starved,
+		Rung:        -1,
+	}
 	if r.Starve > 0 {
 		ev.StallMs = r.Starve
 	}
 	if r.Bitrate > 0 {
-		ev.Rung, ev.RequiredKB = d.rungOf(s, r.Bitrate), r.Bitrate/8
+		ev.Rung, ev.RequiredKB = d.nearestRung(s, r.Bitrate), r.Bitrate/8
 	}
-	if s.story != nil {
-		told := []attribute.KeyValue{attribute.Float64("stall_ms", ev.StallMs), attribute.Bool("starved", r.Starved)}
-		for name, v := range map[string]float64{"got_kb": ev.ReceivedKB, "need_kb": ev.RequiredKB, "buffer_ms": r.Buffer} {
-			if !math.IsNaN(v) { // not told
-				told = append(told, attribute.Float64(name, v))
+	if s.trace != nil {
+		attrs := []attribute.KeyValue{attribute.Float64("stall_ms", ev.StallMs), attribute.Bool("starved", r.Starved)}
+		for name, v := range map[string]float64{
+			"got_kb":    ev.ReceivedKB,
+			"need_kb":   ev.RequiredKB,
+			"buffer_ms": r.Buffer,
+		} {
+			if !math.IsNaN(v) { // NaN: not reported
+				attrs = append(attrs, attribute.Float64(name, v))
 			}
 		}
-		s.story.Note("report", told...)
+		s.trace.Note("report", attrs...)
 	}
-	if box != 0 {
-		ev.Node = d.group(quality.ByNode, d.fleet.Addr(box))
+	if node != 0 {
+		ev.Node = d.groupID(quality.ByNode, d.nodeList.Addr(node))
 	}
-	d.views.in = append(d.views.in, quality.Event{Kind: quality.ReportReceived, Session: uint64(s.id), Report: ev})
+	d.quality.events = append(d.quality.events, quality.Event{
+		Kind:    quality.ReportReceived,
+		Session: uint64(s.id),
+		Report:  ev,
+	})
 }
 
-// rungOf is the rung whose rate is nearest to a bitrate in kbit/s.
-func (d *Director) rungOf(s *session, kbits float64) int {
-	best, least := 0, math.Inf(1)
+// nearestRung returns the rung whose rate is nearest to a bitrate in kbit/s.
+func (d *Director) nearestRung(s *session, kbitPerS float64) int {
+	nearest, minDiff := 0, math.Inf(1)
 	for i, kb := range d.cfg.Ladder.RateKB {
-		if diff := math.Abs(kb*d.cfg.Classes[s.title.class].RateScale*8 - kbits); diff < least {
-			best, least = i, diff
+		if diff := math.Abs(kb*d.cfg.Classes[s.title.class].RateScale*8 - kbitPerS); diff < minDiff {
+			nearest, minDiff = i, diff
 		}
 	}
-	return best
+	return nearest
 }
 
-// tellStories notes a finding on racks and boxes in the traces of the sessions that play there.
-func (d *Director) tellStories(f quality.Finding) {
+// traceFinding adds a finding on a rack or a media node to the traces of the sessions that play there.
+func (d *Director) traceFinding(f quality.Finding) {
 	for _, s := range d.sessions {
-		if s.story == nil || s.state != plays {
+		if s.trace == nil || s.state != sessionPlaying {
 			continue
 		}
-		if p := d.placeOf(s); f.Dim == quality.ByRack && p.Rack == f.ID || f.Dim == quality.ByNode && p.Node == f.ID {
-			s.story.Note("finding", attribute.String(f.Dim.String(), d.views.names[f.GroupKey]), attribute.Bool("over", f.Ended),
-				attribute.Float64("load", f.Load))
+		if p := d.qualityPlace(s); f.Dim == quality.ByRack && p.Rack == f.ID ||
+			f.Dim == quality.ByNode && p.Node == f.ID {
+			s.trace.Note("finding", attribute.String(f.Dim.String(), d.quality.groupNames[f.GroupKey]),
+				attribute.Bool("over", f.Ended), attribute.Float64("load", f.Load))
 		}
 	}
 }
 
-// unix is a time of the loop as Unix time, ms.
-func (d *Director) unix(at float64) int64 { return d.wall().UnixMilli() - int64(d.l.Now()-at) }
+// unixMs converts a time of the loop to Unix time in ms.
+func (d *Director) unixMs(at float64) int64 {
+	return d.wallClock().UnixMilli() - int64(d.loop.Now()-at)
+}
 
-// keep hands a closed window to the history.
-func (d *Director) keep(w *quality.Window) {
+// storeWindow writes a closed window to the history.
+func (d *Director) storeWindow(w *quality.Window) {
 	if d.History == nil {
 		return
 	}
-	from, name := d.unix(w.From), d.cfg.Director.Name
+	from, name := d.unixMs(w.From), d.cfg.Director.Name
 	to := from + int64(d.cfg.Quality.WindowMs)
 	rows := make([]history.Row, 0, len(w.Groups)+1)
 	rows = append(rows, history.Of(from, to, name, "whole", "", &w.Total))
 	for k, g := range w.Groups {
-		rows = append(rows, history.Of(from, to, name, k.Dim.String(), d.views.names[k], g))
+		rows = append(rows, history.Of(from, to, name, k.Dim.String(), d.quality.groupNames[k], g))
 	}
 	d.History.Put(rows)
 }
 
-// keepFinding hands a finding that began or ended to the history; one that began is kept at once, for a director
-// that does not live to see its end.
-func (d *Director) keepFinding(f quality.Finding) {
+// storeFinding writes a finding that began or ended to the history. The beginning is stored at once, so that the
+// finding survives a director that stops before its end.
+func (d *Director) storeFinding(f quality.Finding) {
 	if d.History != nil {
-		d.History.Put([]history.Row{{FromMs: d.unix(f.Since), ToMs: max(d.unix(f.At), d.unix(f.Since)+1), Director: d.cfg.Director.Name,
-			Dim: f.Dim.String(), Name: d.views.names[f.GroupKey], Finding: true, Evidence: f.String()}})
+		d.History.Put([]history.Row{{
+			FromMs:   d.unixMs(f.Since),
+			ToMs:     max(d.unixMs(f.At), d.unixMs(f.Since)+1),
+			Director: d.cfg.Director.Name,
+			Dim:      f.Dim.String(),
+			Name:     d.quality.groupNames[f.GroupKey],
+			Finding:  true,
+			Evidence: f.String(),
+		}})
 	}
 }
 
-// batch takes the reports that a box hands on.
-func (d *Director) batchOf(b *box, data []byte) {
+// handleReportBatch accepts the players' reports that a media node forwards.
+func (d *Director) handleReportBatch(node *mediaNode, data []byte) {
 	var list []struct {
 		Session string  `json:"session"`
 		CMCD    string  `json:"cmcd"`
 		AgoMs   float64 `json:"ago_ms"`
 	}
 	if err := json.Unmarshal(data, &list); err != nil {
-		d.log.Warn("reports can't be read", "box", b.addr, "error", err.Error())
+		d.log.Warn("malformed player reports from media node", "box", node.addr, "error", err.Error())
 		return
 	}
 	for _, r := range list {
-		id, mine := d.parseName(r.Session)
+		id, ours := d.parseSessionName(r.Session)
 		s := d.sessions[id]
-		if !mine || s == nil || !d.accounts.Fits(limits.Reports, int64(len(r.CMCD))) {
+		if !ours || s == nil || !d.quotas.Fits(limits.Reports, int64(len(r.CMCD))) {
 			d.stats.ReportsDropped++
 			continue
 		}
-		d.stats.ReportsTaken++
-		d.seen(s, r.CMCD, b.id, r.AgoMs)
+		d.stats.ReportsAccepted++
+		d.recordReport(s, r.CMCD, node.id, r.AgoMs)
 	}
 }
 
-// look hands what was seen to decide/quality and its findings on: to the log, and to the module as the
-// observation that they are.
-func (d *Director) look() {
-	now := d.l.Now()
-	in := d.views.in
-	for _, f := range d.views.q.Step(now, in) {
+// stepQuality passes the recorded events to decide/quality and its findings to the log, the traces and the history.
+// If quality.relieve is set, findings on racks and media nodes go to the module as load feedback, at most once a
+// second.
+func (d *Director) stepQuality() {
+	now := d.loop.Now()
+	in := d.quality.events
+	for _, f := range d.quality.tracker.Step(now, in) {
 		f := f
-		d.keepFinding(f)
-		d.tellStories(f)
-		d.log.Warn("quality: "+f.String(), "group", f.Dim.String(), "name", d.views.names[f.GroupKey], "over", f.Ended, "load", f.Load)
-	}
-	d.views.in = in[:0]
-	for _, w := range d.views.q.TakeClosed() {
-		d.keep(w)
-		d.views.windows = append(d.views.windows, w)
-		if len(d.views.windows) > keepWindows {
-			d.views.windows = d.views.windows[1:]
+		d.storeFinding(f)
+		d.traceFinding(f)
+		d.log.Warn("quality: "+f.String(), "group", f.Dim.String(), "name", d.quality.groupNames[f.GroupKey],
+			"over", f.Ended, "load", f.Load)
+	}
+	d.quality.events = in[:0]
+	for _, w := range d.quality.tracker.TakeClosed() {
+		d.storeWindow(w)
+		d.quality.closedWindows = append(d.quality.closedWindows, w)
+		if len(d.quality.closedWindows) > maxClosedWindows {
+			d.quality.closedWindows = d.quality.closedWindows[1:]
 		}
 	}
-	if !d.cfg.Quality.Relieve || now-d.views.told < 1000 {
+	if !d.cfg.Quality.Relieve || now-d.quality.lastFeedbackAt < feedbackIntervalMs {
 		return
 	}
-	d.views.told = now
-	for _, f := range d.views.q.Findings() {
-		if now-f.At > 2*d.cfg.Quality.LookMs { // it is fading: nothing new was seen
+	d.quality.lastFeedbackAt = now
+	for _, f := range d.quality.tracker.Findings() {
+		if now-f.At > 2*d.cfg.Quality.LookMs { // stale: nothing new supports it
 			continue
 		}
-		note := headmill.FeedbackLinkLoad
+		feedback := headmill.FeedbackLinkLoad
 		if f.Dim == quality.ByRack {
-			note = headmill.FeedbackUplinkLoad
+			feedback = headmill.FeedbackUplinkLoad
 		} else if f.Dim != quality.ByNode {
-			continue // a title or a family of players: no server is at fault
+			continue // a title or a player family: no media node is the cause
 		}
-		for _, s := range d.sessions { // any session there names a box of the group; all of them tell of one load
-			p := d.placeOf(s)
-			if s.state != plays || f.Dim == quality.ByRack && p.Rack != f.ID || f.Dim == quality.ByNode && p.Node != f.ID {
+		for _, s := range d.sessions { // one session is enough to identify the group, whose load is the same for all
+			p := d.qualityPlace(s)
+			if s.state != sessionPlaying || f.Dim == quality.ByRack && p.Rack != f.ID ||
+				f.Dim == quality.ByNode && p.Node != f.ID {
 				continue
 			}
-			d.toModule(headmill.Event{Kind: headmill.EvFeedback, Session: headmill.SessionID(s.id), Node: s.server, Feedback: note,
-				Value: f.Load})
+			d.queueModuleEvent(headmill.Event{
+				Kind:     headmill.EvFeedback,
+				Session:  headmill.SessionID(s.id),
+				Node:     s.node,
+				Feedback: feedback,
+				Value:    f.Load,
+			})
 			break
 		}
 	}
--- a/internal/director/setup.go
+++ b/internal/director/setup.go
@@ -20,197 +20,252 @@
 	"headmill/internal/orca"
 )
 
-// setup is one attempt at a box, from the module's word to its outcome and, for a paid class, a while longer.
-type setup struct {
-	d     *Director
-	s     *session
-	b     *box
-	u     *upstream
-	a     attempt.Attempt
-	took  float64 // when it was begun
-	timer *loop.Timer
-	load  orca.Load
-	base  string
-	rung  int
-	heeds bool // the connection is kept for a late word
+// setupAttempt is one attempt at a media node, from the module's ActSetup to its outcome. For a paid class it lasts
+// up to times.late_ms longer, for a late answer.
+type setupAttempt struct {
+	director     *Director
+	session      *session
+	node         *mediaNode
+	conn         *nodeConn
+	machine      attempt.Attempt
+	startedAt    float64 // time of the loop
+	timer        *loop.Timer
+	loadReport   orca.Load
+	mediaURL     string
+	rung         int
+	awaitingLate bool // the connection stays open for a late answer
 }
 
-var outcomes = map[attempt.Outcome]headmill.Outcome{attempt.OutcomeFull: headmill.Full,
-	attempt.OutcomeConnectFailed: headmill.ConnectFailed, attempt.OutcomeError: headmill.Failed, attempt.OutcomeReset: headmill.Reset,
-	attempt.OutcomeTimedOut: headmill.TimedOut, attempt.OutcomeCancelled: headmill.Cancelled}
+// moduleOutcomes has the module's outcome for each outcome of an attempt except success.
+var moduleOutcomes = map[attempt.Outcome]headmill.Outcome{
+	attempt.OutcomeFull:          headmill.Full,
+	attempt.OutcomeConnectFailed: headmill.ConnectFailed,
+	attempt.OutcomeError:         headmill.Failed,
+	attempt.OutcomeReset:         headmill.Reset,
+	attempt.OutcomeTimedOut:      headmill.TimedOut,
+	attempt.OutcomeCancelled:     headmill.Cancelled,
+}
 
-// send begins the attempt that the module asked for. allow is its time, ms; 0: until the viewer gives up.
-func (d *Director) send(s *session, server headmill.NodeID, allow float64) {
-	now := d.l.Now()
-	if allow <= 0 || allow > s.deadline-now {
-		allow = math.Max(s.deadline-now, 0)
+// startAttempt starts the attempt that the module asked for. allowedMs is its time limit; 0 means until the session's
+// deadline, shortly before the viewer gives up.
+func (d *Director) startAttempt(s *session, node headmill.NodeID, allowedMs float64) {
+	now := d.loop.Now()
+	if allowedMs <= 0 || allowedMs > s.deadline-now {
+		allowedMs = math.Max(s.deadline-now, 0)
 	}
-	t := &setup{d: d, s: s, b: d.box(server), took: now, rung: s.rung}
-	t.a.Paid = d.cfg.Classes[s.title.class].Semantics == "once"
-	s.setup, s.server, s.base, s.sent = t, server, "", s.rung
+	a := &setupAttempt{director: d, session: s, node: d.node(node), startedAt: now, rung: s.rung}
+	a.machine.Paid = d.cfg.Classes[s.title.class].Semantics == "once"
+	s.setup, s.node, s.mediaURL, s.sentRung = a, node, "", s.rung
 	s.attempts++
 	d.stats.Attempts++
-	s.story.Attempt(attribute.String("box", t.b.addr), attribute.Int("rung", t.rung), attribute.Int("number", s.attempts),
-		attribute.Float64("allow_ms", ms(allow)))
-	d.watchIn = append(d.watchIn, health.Event{Kind: health.SetupSent, Node: health.NodeID(server), Session: health.SessionID(s.id)})
-	t.timer = d.l.After(allow, func() { t.step(attempt.Event{Kind: attempt.DeadlineExceeded}) })
-	u := t.b.rested()
-	if u != nil {
-		t.u = u
-		u.take(t)
+	s.trace.Attempt(attribute.String("box", a.node.addr), attribute.Int("rung", a.rung),
+		attribute.Int("number", s.attempts), attribute.Float64("allow_ms", roundMs(allowedMs)))
+	d.healthEvents = append(d.healthEvents, health.Event{
+		Kind:    health.SetupSent,
+		Node:    health.NodeID(node),
+		Session: health.SessionID(s.id),
+	})
+	a.timer = d.loop.After(allowedMs, func() { a.step(attempt.Event{Kind: attempt.DeadlineExceeded}) })
+	conn := a.node.takeIdleConn()
+	if conn != nil {
+		a.conn = conn
+		conn.assign(a)
 	}
-	t.step(attempt.Event{Kind: attempt.Start, Reused: u != nil})
+	a.step(attempt.Event{Kind: attempt.Start, Reused: conn != nil})
 }
 
-// step gives a fact to decide/attempt and carries out what it says.
-func (t *setup) step(ev attempt.Event) {
-	for _, a := range t.a.Step(ev, nil) {
-		switch a.Kind {
+// step passes an event to decide/attempt and carries out its actions.
+func (a *setupAttempt) step(ev attempt.Event) {
+	for _, action := range a.machine.Step(ev, nil) {
+		switch action.Kind {
 		case attempt.Dial:
-			if !t.b.dial(t) {
-				t.step(attempt.Event{Kind: attempt.ConnectionClosed})
+			if !a.node.dial(a) {
+				a.step(attempt.Event{Kind: attempt.ConnectionClosed})
 			}
 		case attempt.Write:
-			t.write()
+			a.writeRequest()
 		case attempt.ReportOutcome:
-			t.settle(a.Outcome)
+			a.reportOutcome(action.Outcome)
 		case attempt.KeepConnection:
-			if t.u != nil {
-				t.u.rest()
+			if a.conn != nil {
+				a.conn.release()
 			}
-			t.u = nil
+			a.conn = nil
 		case attempt.CloseConnection:
-			if t.u != nil {
-				t.u.use = nil
-				t.u.c.Close(loop.ErrClosedByOwner)
+			if a.conn != nil {
+				a.conn.user = nil
+				a.conn.netConn.Close(loop.ErrClosedByOwner)
 			}
-			t.u = nil
+			a.conn = nil
 		case attempt.ReportLateSuccess:
-			t.late()
+			a.acceptLateSuccess()
 		case attempt.ReportNeverRan:
-			t.d.ledgerIn = append(t.d.ledgerIn, idempotency.Event{Kind: idempotency.ProvenNeverRan, Session: t.s.id})
+			a.director.ledgerEvents = append(a.director.ledgerEvents, idempotency.Event{
+				Kind:    idempotency.ProvenNeverRan,
+				Session: a.session.id,
+			})
 		}
 	}
-	if t.a.State() != attempt.StateClosed || t.s.setup != t {
+	if a.machine.State() != attempt.StateClosed || a.session.setup != a {
 		return
 	}
-	t.s.setup = nil
-	if t.heeds { // no late word came, or that it never ran
-		t.gone()
+	a.session.setup = nil
+	if a.awaitingLate { // it ended without a late success
+		a.reportSetupEnded()
 	}
 }
 
-func (t *setup) gone() {
-	t.d.watchIn = append(t.d.watchIn, health.Event{Kind: health.SessionEnded, Node: health.NodeID(t.b.id),
-		Session: health.SessionID(t.s.id)})
+// reportSetupEnded reports to decide/health that the set-up is no longer expected at the media node.
+func (a *setupAttempt) reportSetupEnded() {
+	a.director.healthEvents = append(a.director.healthEvents, health.Event{
+		Kind:    health.SessionEnded,
+		Node:    health.NodeID(a.node.id),
+		Session: health.SessionID(a.session.id),
+	})
 }
 
-// write sends the set-up: PUT of the session's own resource, so that a box can tell a repeated one.
-func (t *setup) write() {
-	d, s := t.d, t.s
-	q := url.Values{"title": {s.title.Name}, "class": {s.title.Class}, "rung": {strconv.Itoa(t.rung)},
-		"jti": {s.claims.id}, "viewer": {s.claims.viewer}, "brand": {s.claims.brand},
-		"director": {d.cfg.Director.Name}, "attempt": {strconv.Itoa(s.attempts)},
-		"duration_ms": {strconv.FormatFloat(s.title.DurationMs, 'f', -1, 64)}}
-	b := http1.AppendRequest(d.scratch[:0], "PUT", "/sessions/"+d.name(s), t.b.addr)
+// writeRequest sends the set-up as a PUT of the session's own resource, so that a media node recognizes a repeated
+// one.
+func (a *setupAttempt) writeRequest() {
+	d, s := a.director, a.session
+	q := url.Values{
+		"title":       {s.title.Name},
+		"class":       {s.title.Class},
+		"rung":        {strconv.Itoa(a.rung)},
+		"jti":         {s.claims.jti},
+		"viewer":      {s.claims.viewer},
+		"brand":       {s.claims.tenant},
+		"director":    {d.cfg.Director.Name},
+		"attempt":     {strconv.Itoa(s.attempts)},
+		"duration_ms": {strconv.FormatFloat(s.title.DurationMs, 'f', -1, 64)},
+	}
+	b := http1.AppendRequest(d.writeBuffer[:0], "PUT", "/sessions/"+d.sessionName(s), a.node.addr)
 	b = http1.AppendField(b, "Content-Type", "application/x-www-form-urlencoded")
 	b = http1.AppendBody(b, []byte(q.Encode()), false)
-	d.scratch = b[:0]
-	t.u.c.Write(b)
-	t.wrote(t.u)
+	d.writeBuffer = b[:0]
+	a.conn.netConn.Write(b)
+	a.bytesWritten(a.conn)
 }
 
-func (t *setup) connected(u *upstream) {
-	if t.a.State() != attempt.StateWaiting { // its time was over before the connection stood
-		u.rest()
+// connected writes the request on a connection that was dialled for it.
+func (a *setupAttempt) connected(conn *nodeConn) {
+	if a.machine.State() != attempt.StateWaiting { // timed out before the connection was established
+		conn.release()
 		return
 	}
-	t.u = u
-	u.take(t)
-	t.step(attempt.Event{Kind: attempt.Connected})
+	a.conn = conn
+	conn.assign(a)
+	a.step(attempt.Event{Kind: attempt.Connected})
 }
 
-func (t *setup) wrote(u *upstream) {
-	t.step(attempt.Event{Kind: attempt.BytesWritten, Bytes: u.left()})
+func (a *setupAttempt) bytesWritten(conn *nodeConn) {
+	a.step(attempt.Event{Kind: attempt.BytesWritten, Bytes: conn.requestBytesWritten()})
 }
 
-func (t *setup) head(_ *upstream, status int) {
-	t.step(attempt.Event{Kind: attempt.ResponseHead, Status: status})
+func (a *setupAttempt) responseHead(_ *nodeConn, status int) {
+	a.step(attempt.Event{Kind: attempt.ResponseHead, Status: status})
 }
 
-// whole reads the box's answer: its load, where the session's media are, and its word that nothing ran.
-func (t *setup) whole(_ *upstream, m *http1.Message) {
-	t.load = orca.Parse(string(m.Get(orca.Header)))
-	never := false
+// responseComplete reads the media node's answer: its load, the URL of the session's media, and the statement that
+// nothing ran.
+func (a *setupAttempt) responseComplete(_ *nodeConn, m *http1.Message) {
+	a.loadReport = orca.Parse(string(m.Get(orca.Header)))
+	neverRan := false
 	if m.Status == 503 && strings.HasPrefix(string(m.Get("content-type")), "application/problem+json") {
 		var doc struct {
 			Ran *bool `json:"ran"`
 		}
-		never = json.Unmarshal(m.Body, &doc) == nil && doc.Ran != nil && !*doc.Ran
+		neverRan = json.Unmarshal(m.Body, &doc) == nil && doc.Ran != nil && !*doc.Ran
 	}
 	status := m.Status
 	if status == 201 {
-		if t.base = string(m.Get("location")); !strings.HasPrefix(t.base, "http://") {
-			status = 502 // it says that it plays and not where: it may run, and nobody can see it
+		if a.mediaURL = string(m.Get("location")); !strings.HasPrefix(a.mediaURL, "http://") {
+			status = 502 // it plays at an unknown URL: it may have run, but nobody can watch it
 		}
 	}
-	t.step(attempt.Event{Kind: attempt.ResponseComplete, Status: status, NeverRan: never})
+	a.step(attempt.Event{Kind: attempt.ResponseComplete, Status: status, NeverRan: neverRan})
 }
 
-func (t *setup) broke(u *upstream, _ error) {
-	if t.u == u && u.left() > 0 { // bytes that left in the very call that failed count as left
-		t.step(attempt.Event{Kind: attempt.BytesWritten, Bytes: u.left()})
+func (a *setupAttempt) connectionClosed(conn *nodeConn, _ error) {
+	if a.conn == conn && conn.requestBytesWritten() > 0 { // count the bytes written in the very call that failed
+		a.step(attempt.Event{Kind: attempt.BytesWritten, Bytes: conn.requestBytesWritten()})
 	}
-	t.u = nil
-	t.step(attempt.Event{Kind: attempt.ConnectionClosed})
+	a.conn = nil
+	a.step(attempt.Event{Kind: attempt.ConnectionClosed})
 }
 
-// settle tells the outcome to the module, and what plays to the ledger.
-func (t *setup) settle(o attempt.Outcome) {
-	d, s := t.d, t.s
-	d.l.Cancel(t.timer)
-	now := d.l.Now()
-	s.last = o
-	s.story.Settle(o.String(), o == attempt.OutcomePlaying)
-	k, took := headmill.SessionID(s.id), now-t.took
-	if o == attempt.OutcomePlaying {
-		s.state, s.played, s.base, s.setup = plays, now, t.base, nil
-		s.story.Play(attribute.String("box", t.b.addr), attribute.Int("rung", t.rung))
-		d.toModule(headmill.Event{Kind: headmill.EvAttemptPlaying, Session: k, Node: t.b.id, LatencyMs: took})
-		if t.load.X0 >= 0 {
-			d.toModule(headmill.Event{Kind: headmill.EvFeedback, Session: k, Node: t.b.id, Feedback: headmill.FeedbackLinkLoad,
-				Value: t.load.X0})
+// reportOutcome reports the outcome to the module and, if the session plays, to the ledger.
+func (a *setupAttempt) reportOutcome(outcome attempt.Outcome) {
+	d, s := a.director, a.session
+	d.loop.Cancel(a.timer)
+	now := d.loop.Now()
+	s.lastOutcome = outcome
+	s.trace.Settle(outcome.String(), outcome == attempt.OutcomePlaying)
+	id, tookMs := headmill.SessionID(s.id), now-a.startedAt
+	if outcome == attempt.OutcomePlaying {
+		s.state, s.playingSince, s.mediaURL, s.setup = sessionPlaying, now, a.mediaURL, nil
+		s.trace.Play(attribute.String("box", a.node.addr), attribute.Int("rung", a.rung))
+		d.queueModuleEvent(headmill.Event{
+			Kind:      headmill.EvAttemptPlaying,
+			Session:   id,
+			Node:      a.node.id,
+			LatencyMs: tookMs,
+		})
+		if a.loadReport.X0 >= 0 {
+			d.queueModuleEvent(headmill.Event{
+				Kind:     headmill.EvFeedback,
+				Session:  id,
+				Node:     a.node.id,
+				Feedback: headmill.FeedbackLinkLoad,
+				Value:    a.loadReport.X0,
+			})
 		}
-		if t.load.X1 >= 0 {
-			d.toModule(headmill.Event{Kind: headmill.EvFeedback, Session: k, Node: t.b.id, Feedback: headmill.FeedbackUplinkLoad,
-				Value: t.load.X1})
+		if a.loadReport.X1 >= 0 {
+			d.queueModuleEvent(headmill.Event{
+				Kind:     headmill.EvFeedback,
+				Session:  id,
+				Node:     a.node.id,
+				Feedback: headmill.FeedbackUplinkLoad,
+				Value:    a.loadReport.X1,
+			})
 		}
-		d.watchIn = append(d.watchIn, health.Event{Kind: health.SessionStarted, Node: health.NodeID(t.b.id), Session: health.SessionID(s.id)})
-		d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.SetupSucceeded, Session: s.id})
-		d.gate.Step(now, []limits.Event{d.placed(s)}, nil)
-		if s.rung != t.rung {
-			d.tellRung(s)
+		d.healthEvents = append(d.healthEvents, health.Event{
+			Kind:    health.SessionStarted,
+			Node:    health.NodeID(a.node.id),
+			Session: health.SessionID(s.id),
+		})
+		d.ledgerEvents = append(d.ledgerEvents, idempotency.Event{Kind: idempotency.SetupSucceeded, Session: s.id})
+		d.admission.Step(now, []limits.Event{d.admissionSessionStarted(s)}, nil)
+		if s.rung != a.rung {
+			d.sendRung(s)
 		}
-		d.viewed(s, quality.SessionStarted)
+		d.recordSessionStart(s, quality.SessionStarted)
 		return
 	}
-	if t.a.State() == attempt.StateAwaitingLate { // the connection stays for a late word
-		t.heeds = true
-		t.timer = d.l.After(d.cfg.Times.LateAnswerMs, func() { t.step(attempt.Event{Kind: attempt.LateWindowOver}) })
+	if a.machine.State() == attempt.StateAwaitingLate { // the connection stays open for a late answer
+		a.awaitingLate = true
+		a.timer = d.loop.After(d.cfg.Times.LateAnswerMs,
+			func() { a.step(attempt.Event{Kind: attempt.LateWindowOver}) })
 	} else {
-		t.gone()
+		a.reportSetupEnded()
 	}
-	d.toModule(headmill.Event{Kind: headmill.EvAttemptEnded, Session: k, Node: t.b.id, Outcome: outcomes[o],
-		LatencyMs: took, Report: report(t.load)})
+	d.queueModuleEvent(headmill.Event{
+		Kind:      headmill.EvAttemptEnded,
+		Session:   id,
+		Node:      a.node.id,
+		Outcome:   moduleOutcomes[outcome],
+		LatencyMs: tookMs,
+		Report:    moduleReport(a.loadReport),
+	})
 }
 
-// late takes the word of a box, after the time-out, that a paid session plays.
-func (t *setup) late() {
-	d, s := t.d, t.s
-	d.l.Cancel(t.timer)
-	d.stats.Late++
-	s.base, s.server, s.sent, s.setup = t.base, t.b.id, t.rung, nil
-	d.log.Warn("a set-up that had been given up plays", "session", d.name(s), "jti", s.claims.id, "box", t.b.addr,
-		"took_ms", ms(d.l.Now()-t.took))
-	d.ledgerIn = append(d.ledgerIn, idempotency.Event{Kind: idempotency.LateSuccess, Session: s.id})
+// acceptLateSuccess handles a media node's answer, after the time-out, that a paid session plays.
+func (a *setupAttempt) acceptLateSuccess() {
+	d, s := a.director, a.session
+	d.loop.Cancel(a.timer)
+	d.stats.LateSuccesses++
+	s.mediaURL, s.node, s.sentRung, s.setup = a.mediaURL, a.node.id, a.rung, nil
+	d.log.Warn("a set-up that had been given up plays", "session", d.sessionName(s), "jti", s.claims.jti,
+		"box", a.node.addr, "took_ms", roundMs(d.loop.Now()-a.startedAt))
+	d.ledgerEvents = append(d.ledgerEvents, idempotency.Event{Kind: idempotency.LateSuccess, Session: s.id})
 }
