--- a/decide/attempt/attempt.go
+++ b/decide/attempt/attempt.go
@@ -1,22 +1,34 @@
-// Package attempt decides what became of one set-up sent to a box, from what
-// was seen of it on its connection: whether it plays, whether it provably
-// never ran, or whether nobody can know. It is the one place where a proof of
-// "never ran" is made.
+// Package attempt decides the outcome of one set-up sent to a media node, from what was observed on its connection:
+// it plays, it provably never ran, or its outcome cannot be known. It is the only place that decides whether an
+// attempt is proven not to have run.
 //
-// It is pure: every fact comes in by Step, with its time. It does no I/O and
-// reads no clock.
+// The package is pure: events, in the order of their time, go in by Step, actions come out. It does no I/O and reads
+// no clock.
 //
-//	Waiting    a connection is being opened, or one from the pool is to be written on
-//	Sent       at least one byte of the set-up has left
-//	Answering  the head of the answer has come
-//	Playing    the box said that it plays
-//	Settled    the outcome is told
-//	Listening  given up by time, but the connection is kept for a late word of the box
-//	Closed     nothing more can be learned
+// Only two things prove that nothing ran: no byte of the set-up has been written (a connect that failed, a pooled
+// connection found closed before the write), or the media node's own answer. A connection that closes after a single
+// byte proves nothing.
 //
-// Only two things prove that nothing ran: no byte of the set-up has left (a
-// connect that failed, a kept connection found closed before the write), or the
-// box's own word. A connection that breaks after a single byte proves nothing.
+// States and what the events do in them; an event that is not listed changes nothing:
+//
+//	Waiting       a connection is being opened, or a pooled one is about to be written on
+//	              Start: Write on a pooled connection, else Dial. Connected: Write.
+//	              BytesWritten: Sent, if at least one byte.
+//	              ConnectionClosed: Dial if it was a pooled connection; else Closed, ConnectFailed.
+//	              DeadlineExceeded, Cancelled: Closed, ConnectFailed, CloseConnection.
+//	Sent          at least one byte of the set-up has been written
+//	              ResponseHead: Answering.
+//	              ResponseComplete: Playing or Settled, with the answer's outcome and KeepConnection.
+//	              ConnectionClosed: Closed, Reset.
+//	              DeadlineExceeded, Cancelled: TimedOut or Cancelled; a paid attempt is then AwaitingLate,
+//	              any other Closed, with CloseConnection.
+//	Answering     the head of the answer has arrived; events as in Sent
+//	Playing       the media node answered that the session plays; nothing more is expected
+//	Settled       the outcome, not Playing, has been reported; nothing more is expected
+//	AwaitingLate  the attempt timed out or was cancelled, but the connection stays open for a late answer
+//	              ResponseComplete: Closed, KeepConnection, and ReportLateSuccess or ReportNeverRan if it says so.
+//	              ConnectionClosed: Closed. LateWindowOver: Closed, CloseConnection.
+//	Closed        nothing more can be learned
 package attempt
 
 import "fmt"
@@ -24,71 +36,72 @@
 // EventKind tells which fields of an Event are set.
 type EventKind uint8
 
-// The events.
+// The kinds of events, with the fields that each one sets.
 const (
-	Start            EventKind = iota // Reused: a kept connection was at hand, else one is being opened
-	Connected                         // the opened connection stands
-	BytesWritten                      // Bytes of the set-up that the kernel has taken so far
+	Start            EventKind = iota // Reused: a pooled connection is available, else one is to be opened
+	Connected                         // the new connection is established
+	BytesWritten                      // Bytes of the set-up that the kernel has accepted so far
 	ResponseHead                      // Status of the answer
-	ResponseComplete                  // Status, NeverRan: the answer is whole
-	ConnectionClosed                  // the connection ended or could not be opened
-	DeadlineExceeded                  // the attempt's time is over
-	Cancelled                         // the owner gives it up
-	LateWindowOver                    // the time for a late word is over
+	ResponseComplete                  // Status, NeverRan: the whole answer has arrived
+	ConnectionClosed                  // the connection closed or could not be opened
+	DeadlineExceeded                  // the attempt's time limit has passed
+	Cancelled                         // the caller gives the attempt up
+	LateWindowOver                    // the time to wait for a late answer has passed
 )
 
-// Event is one fact about the connection.
+// Event is one observation about the connection.
 type Event struct {
 	Kind     EventKind
 	Reused   bool
 	Bytes    int64
-	Status   int
-	NeverRan bool // the box's own word that nothing of this set-up ran
+	Status   int  // HTTP status code
+	NeverRan bool // the media node answered that nothing of this set-up ran
 }
 
-// Outcome is the end of an attempt.
+// Outcome is the result of an attempt.
 type Outcome uint8
 
-// The outcomes. Full and NoConnect prove that nothing ran.
+// The outcomes. OutcomeFull and OutcomeConnectFailed prove that nothing ran.
 const (
 	OutcomeNone Outcome = iota
 	OutcomePlaying
-	OutcomeFull          // the box's own word
-	OutcomeConnectFailed // no byte of the set-up left
-	OutcomeError         // an answer that is no success and proves nothing
-	OutcomeReset         // the connection broke after a byte had left
+	OutcomeFull          // the media node answered that it is full and nothing ran
+	OutcomeConnectFailed // no byte of the set-up was written
+	OutcomeError         // an answer that is not a success and proves nothing
+	OutcomeReset         // the connection closed after a byte had been written
 	OutcomeTimedOut
 	OutcomeCancelled
 )
 
+// outcomeNames are the external names of the outcomes, in the order of the constants.
 var outcomeNames = [...]string{"none", "plays", "full", "connect_failed", "error", "reset", "timed_out", "cancelled"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// NeverRan tells whether the outcome is a proof.
+// NeverRan tells whether the outcome proves that nothing ran.
 func (o Outcome) NeverRan() bool { return o == OutcomeFull || o == OutcomeConnectFailed }
 
-// ActionKind is what the caller is to do.
+// ActionKind tells what the caller is to do.
 type ActionKind uint8
 
-// The actions.
+// The kinds of actions.
 const (
-	Dial              ActionKind = iota // open a new connection: the kept one had closed, and nothing was written
+	Dial              ActionKind = iota // open a new connection: none was pooled, or it closed before the write
 	Write                               // write the set-up
-	ReportOutcome                       // tell the module: Outcome
+	ReportOutcome                       // report Outcome to the decision module
 	KeepConnection                      // the connection can go back to the pool
 	CloseConnection                     // close the connection
-	ReportLateSuccess                   // after Settle: the box says that it plays
-	ReportNeverRan                      // after Settle: the box says that it never ran
+	ReportLateSuccess                   // after ReportOutcome: the media node answered that the session plays
+	ReportNeverRan                      // after ReportOutcome: the media node answered that nothing ran
 )
 
-// Action is one thing to do.
+// Action is one thing for the caller to do.
 type Action struct {
 	Kind    ActionKind
-	Outcome Outcome
+	Outcome Outcome // of ReportOutcome
 }
 
-// State is where an attempt stands.
+// State is the state of an attempt; see the package comment.
 type State uint8
 
 // The states.
@@ -102,41 +115,42 @@
 	StateClosed
 )
 
+// stateNames are the external names of the states, in the order of the constants.
 var stateNames = [...]string{"waiting", "sent", "answering", "playing", "settled", "listening", "closed"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Attempt is one set-up.
+// Attempt is the state of one set-up sent to a media node. The zero value is ready for Start.
 type Attempt struct {
-	// Paid attempts are listened to after their time is over: a late "it plays" is worth knowing, since
-	// the session can't be set up again. Others are cut, so that the box stops its work.
+	// Paid attempts wait for a late answer after their time limit: a late success is worth knowing, since the
+	// session must not be set up again. The connections of others are closed, so that the media node stops its work.
 	Paid    bool
 	state   State
 	outcome Outcome
-	reused  bool
+	reused  bool // the current connection came from the pool
 	redials int
 }
 
-// State tells where the attempt stands.
+// State returns the state of the attempt.
 func (a *Attempt) State() State { return a.state }
 
-// Outcome is None until it is settled.
+// Outcome returns the reported outcome, OutcomeNone before there is one.
 func (a *Attempt) Outcome() Outcome { return a.outcome }
 
-// Step takes one fact and appends what is to be done.
+// Step handles one event and appends the resulting actions to out.
 func (a *Attempt) Step(ev Event, out []Action) []Action {
 	switch a.state {
 	case StateWaiting:
-		return a.waiting(ev, out)
+		return a.stepWaiting(ev, out)
 	case StateSent, StateAnswering:
-		return a.sent(ev, out)
+		return a.stepSent(ev, out)
 	case StateAwaitingLate:
-		return a.listening(ev, out)
+		return a.stepAwaitingLate(ev, out)
 	}
-	return out // settled, and the connection is pooled or gone: later facts are of other attempts
+	return out // the connection is pooled or closed: later events belong to other attempts
 }
 
-func (a *Attempt) waiting(ev Event, out []Action) []Action {
+func (a *Attempt) stepWaiting(ev Event, out []Action) []Action {
 	switch ev.Kind {
 	case Start:
 		a.reused = ev.Reused
@@ -151,8 +165,8 @@
 			a.state = StateSent
 		}
 	case ConnectionClosed:
-		// A kept connection that the box had closed in the meantime: no byte left, so the attempt is still
-		// to be made. Once only: a second break is the box's fault and not the pool's.
+		// The media node had closed the pooled connection in the meantime: no byte was written, so the set-up can
+		// still be sent. It is redialled only once: a second close is the media node's fault, not the pool's.
 		if a.reused && a.redials == 0 {
 			a.reused = false
 			a.redials++
@@ -167,29 +181,30 @@
 	return out
 }
 
-func (a *Attempt) sent(ev Event, out []Action) []Action {
+func (a *Attempt) stepSent(ev Event, out []Action) []Action {
 	switch ev.Kind {
 	case ResponseHead:
 		a.state = StateAnswering
 	case ResponseComplete:
-		return append(a.settle(judge(ev), StateSettled, out), Action{Kind: KeepConnection})
+		return append(a.settle(responseOutcome(ev), StateSettled, out), Action{Kind: KeepConnection})
 	case ConnectionClosed:
 		return a.settle(OutcomeReset, StateClosed, out)
 	case DeadlineExceeded, Cancelled:
-		o := OutcomeTimedOut
+		outcome := OutcomeTimedOut
 		if ev.Kind == Cancelled {
-			o = OutcomeCancelled
+			outcome = OutcomeCancelled
 		}
 		if a.Paid {
-			return a.settle(o, StateAwaitingLate, out)
+			return a.settle(outcome, StateAwaitingLate, out)
 		}
-		return append(a.settle(o, StateClosed, out), Action{Kind: CloseConnection})
+		return append(a.settle(outcome, StateClosed, out), Action{Kind: CloseConnection})
 	}
 	return out
 }
 
-// judge reads a whole answer. Anything that is not understood is an error that may have run.
-func judge(ev Event) Outcome {
+// responseOutcome returns the outcome of a complete answer. An answer that is not understood is an error, and the
+// set-up may have run.
+func responseOutcome(ev Event) Outcome {
 	switch {
 	case ev.Status == 201:
 		return OutcomePlaying
@@ -199,12 +214,12 @@
 	return OutcomeError
 }
 
-func (a *Attempt) listening(ev Event, out []Action) []Action {
+func (a *Attempt) stepAwaitingLate(ev Event, out []Action) []Action {
 	switch ev.Kind {
 	case ResponseComplete:
 		a.state = StateClosed
 		out = append(out, Action{Kind: KeepConnection})
-		switch judge(ev) {
+		switch responseOutcome(ev) {
 		case OutcomePlaying:
 			return append(out, Action{Kind: ReportLateSuccess})
 		case OutcomeFull:
@@ -219,12 +234,13 @@
 	return out
 }
 
-func (a *Attempt) settle(o Outcome, next State, out []Action) []Action {
-	a.outcome, a.state = o, next
-	if o == OutcomePlaying {
+// settle reports the outcome and enters the next state, which is StatePlaying for a success.
+func (a *Attempt) settle(outcome Outcome, next State, out []Action) []Action {
+	a.outcome, a.state = outcome, next
+	if outcome == OutcomePlaying {
 		a.state = StatePlaying
 	}
-	return append(out, Action{Kind: ReportOutcome, Outcome: o})
+	return append(out, Action{Kind: ReportOutcome, Outcome: outcome})
 }
 
 func (a *Attempt) String() string { return fmt.Sprintf("%s, %s", a.state, a.outcome) }
--- a/decide/attempt/attempt_test.go
+++ b/decide/attempt/attempt_test.go
@@ -6,108 +6,134 @@
 	"testing"
 )
 
-func acts(l []Action) string {
-	names := [...]string{"dial", "write", "settle", "keep", "cut", "late", "void"}
-	var out []string
-	for _, a := range l {
-		s := names[a.Kind]
+// format renders actions as text: "report=plays keep".
+func format(actions []Action) string {
+	names := [...]string{"dial", "write", "report", "keep", "close", "late_success", "never_ran"}
+	var words []string
+	for _, a := range actions {
+		word := names[a.Kind]
 		if a.Kind == ReportOutcome {
-			s += "=" + a.Outcome.String()
+			word += "=" + a.Outcome.String()
 		}
-		out = append(out, s)
+		words = append(words, word)
 	}
-	return strings.Join(out, " ")
+	return strings.Join(words, " ")
 }
 
 var (
-	fresh   = Event{Kind: Start}
-	kept    = Event{Kind: Start, Reused: true}
-	stands  = Event{Kind: Connected}
-	noByte  = Event{Kind: BytesWritten}
-	someB   = Event{Kind: BytesWritten, Bytes: 1}
-	head    = Event{Kind: ResponseHead, Status: 201}
-	created = Event{Kind: ResponseComplete, Status: 201}
-	full    = Event{Kind: ResponseComplete, Status: 503, NeverRan: true}
-	busy    = Event{Kind: ResponseComplete, Status: 503}
-	fault   = Event{Kind: ResponseComplete, Status: 500, NeverRan: true} // only a 503 may say so
-	broke   = Event{Kind: ConnectionClosed}
-	late    = Event{Kind: DeadlineExceeded}
-	cancel  = Event{Kind: Cancelled}
-	over    = Event{Kind: LateWindowOver}
+	startNew       = Event{Kind: Start}
+	startReused    = Event{Kind: Start, Reused: true}
+	connected      = Event{Kind: Connected}
+	noBytes        = Event{Kind: BytesWritten}
+	oneByte        = Event{Kind: BytesWritten, Bytes: 1}
+	responseHead   = Event{Kind: ResponseHead, Status: 201}
+	created        = Event{Kind: ResponseComplete, Status: 201}
+	full           = Event{Kind: ResponseComplete, Status: 503, NeverRan: true}
+	unavailable    = Event{Kind: ResponseComplete, Status: 503}
+	internalError  = Event{Kind: ResponseComplete, Status: 500, NeverRan: true} // only a 503 may say so
+	connClosed     = Event{Kind: ConnectionClosed}
+	deadline       = Event{Kind: DeadlineExceeded}
+	cancelled      = Event{Kind: Cancelled}
+	lateWindowOver = Event{Kind: LateWindowOver}
 )
 
-// Each path of a set-up, with what is done at each step. Only no byte and the box's word prove "never ran".
+// Each path of a set-up, with the actions of each step. Only a set-up of which no byte was written, and the media
+// node's own answer, prove that nothing ran.
 func TestPaths(t *testing.T) {
 	for name, c := range map[string]struct {
-		paid  bool
-		evs   []Event
-		want  string // steps by "; "
-		never bool
+		paid     bool
+		events   []Event
+		want     string // the actions of each event, separated by "; "
+		neverRan bool
 	}{
-		"plays on a new connection":          {false, []Event{fresh, stands, someB, head, created}, "dial; write; ; ; settle=plays keep", false},
-		"plays on a kept one":                {false, []Event{kept, someB, created}, "write; ; settle=plays keep", false},
-		"connect refused":                    {true, []Event{fresh, broke}, "dial; settle=connect_failed", true},
-		"kept one closed before the write":   {true, []Event{kept, noByte, broke, stands, someB, created}, "write; ; dial; write; ; settle=plays keep", false},
-		"kept one closed, then refused":      {true, []Event{kept, broke, broke}, "write; dial; settle=connect_failed", true},
-		"no byte left in time":               {true, []Event{fresh, stands, noByte, late}, "dial; write; ; settle=connect_failed cut", true},
-		"no connection in time":              {true, []Event{fresh, late, broke}, "dial; settle=connect_failed cut; ", true},
-		"broke after one byte":               {true, []Event{fresh, stands, someB, broke}, "dial; write; ; settle=reset", false},
-		"broke within the answer":            {true, []Event{fresh, stands, someB, head, broke}, "dial; write; ; ; settle=reset", false},
-		"full":                               {true, []Event{fresh, stands, someB, full}, "dial; write; ; settle=full keep", true},
-		"503 without the word":               {true, []Event{fresh, stands, someB, busy}, "dial; write; ; settle=error keep", false},
-		"500 with the word":                  {true, []Event{fresh, stands, someB, fault}, "dial; write; ; settle=error keep", false},
-		"time over":                          {false, []Event{fresh, stands, someB, late, created}, "dial; write; ; settle=timed_out cut; ", false},
-		"given up":                           {false, []Event{fresh, stands, someB, cancel}, "dial; write; ; settle=cancelled cut", false},
-		"paid: time over, then it plays":     {true, []Event{fresh, stands, someB, late, created}, "dial; write; ; settle=timed_out; keep late", false},
-		"paid: time over, never ran":         {true, []Event{fresh, stands, someB, late, full}, "dial; write; ; settle=timed_out; keep void", false},
-		"paid: time over, an error":          {true, []Event{fresh, stands, someB, late, busy}, "dial; write; ; settle=timed_out; keep", false},
-		"paid: time over, then it broke":     {true, []Event{fresh, stands, someB, late, broke, created}, "dial; write; ; settle=timed_out; ; ", false},
-		"paid: time over, no word":           {true, []Event{fresh, stands, someB, late, over, created}, "dial; write; ; settle=timed_out; cut; ", false},
-		"settled once, whatever comes after": {true, []Event{fresh, stands, someB, created, broke, late, full}, "dial; write; ; settle=plays keep; ; ; ", false},
+		"plays on a new connection": {false, []Event{startNew, connected, oneByte, responseHead, created},
+			"dial; write; ; ; report=plays keep", false},
+		"plays on a pooled connection": {false, []Event{startReused, oneByte, created},
+			"write; ; report=plays keep", false},
+		"connect refused": {true, []Event{startNew, connClosed}, "dial; report=connect_failed", true},
+		"pooled connection closed before the write": {true,
+			[]Event{startReused, noBytes, connClosed, connected, oneByte, created},
+			"write; ; dial; write; ; report=plays keep", false},
+		"pooled connection closed, then connect refused": {true, []Event{startReused, connClosed, connClosed},
+			"write; dial; report=connect_failed", true},
+		"no byte written before the deadline": {true, []Event{startNew, connected, noBytes, deadline},
+			"dial; write; ; report=connect_failed close", true},
+		"no connection before the deadline": {true, []Event{startNew, deadline, connClosed},
+			"dial; report=connect_failed close; ", true},
+		"closed after one byte": {true, []Event{startNew, connected, oneByte, connClosed},
+			"dial; write; ; report=reset", false},
+		"closed within the answer": {true, []Event{startNew, connected, oneByte, responseHead, connClosed},
+			"dial; write; ; ; report=reset", false},
+		"full": {true, []Event{startNew, connected, oneByte, full}, "dial; write; ; report=full keep", true},
+		"503 without never-ran": {true, []Event{startNew, connected, oneByte, unavailable},
+			"dial; write; ; report=error keep", false},
+		"500 with never-ran": {true, []Event{startNew, connected, oneByte, internalError},
+			"dial; write; ; report=error keep", false},
+		"deadline exceeded": {false, []Event{startNew, connected, oneByte, deadline, created},
+			"dial; write; ; report=timed_out close; ", false},
+		"cancelled": {false, []Event{startNew, connected, oneByte, cancelled},
+			"dial; write; ; report=cancelled close", false},
+		"paid: deadline exceeded, then it plays": {true, []Event{startNew, connected, oneByte, deadline, created},
+			"dial; write; ; report=timed_out; keep late_success", false},
+		"paid: deadline exceeded, then never-ran": {true, []Event{startNew, connected, oneByte, deadline, full},
+			"dial; write; ; report=timed_out; keep never_ran", false},
+		"paid: deadline exceeded, then an error": {true, []Event{startNew, connected, oneByte, deadline, unavailable},
+			"dial; write; ; report=timed_out; keep", false},
+		"paid: deadline exceeded, then closed": {true,
+			[]Event{startNew, connected, oneByte, deadline, connClosed, created},
+			"dial; write; ; report=timed_out; ; ", false},
+		"paid: deadline exceeded, no late answer": {true,
+			[]Event{startNew, connected, oneByte, deadline, lateWindowOver, created},
+			"dial; write; ; report=timed_out; close; ", false},
+		"later events change nothing": {true,
+			[]Event{startNew, connected, oneByte, created, connClosed, deadline, full},
+			"dial; write; ; report=plays keep; ; ; ", false},
 	} {
 		a := Attempt{Paid: c.paid}
-		var got []string
-		for _, ev := range c.evs {
-			got = append(got, acts(a.Step(ev, nil)))
+		var steps []string
+		for _, ev := range c.events {
+			steps = append(steps, format(a.Step(ev, nil)))
 		}
-		if g := strings.Join(got, "; "); g != c.want {
-			t.Errorf("%s:\n got %q\nwant %q", name, g, c.want)
+		if got := strings.Join(steps, "; "); got != c.want {
+			t.Errorf("%s:\n got %q\nwant %q", name, got, c.want)
 		}
-		if a.Outcome().NeverRan() != c.never {
-			t.Errorf("%s: outcome %s, never ran %v", name, a.Outcome(), !c.never)
+		if a.Outcome().NeverRan() != c.neverRan {
+			t.Errorf("%s: outcome %s, never ran %v", name, a.Outcome(), !c.neverRan)
 		}
 	}
 }
 
-// Over all sequences of five facts: at most one outcome is told, and "never ran" never after a byte has left
-// without the box's word.
+// Over all sequences of five events after Start, at most one outcome is reported, and once a byte has been written
+// the outcome proves "never ran" only with the media node's own answer.
 func TestAllSequences(t *testing.T) {
-	evs := []Event{stands, noByte, someB, head, created, full, busy, broke, late, cancel, over}
-	var walk func(a Attempt, path []Event, settled int, sent, word bool)
-	walk = func(a Attempt, path []Event, settled int, sent, word bool) {
+	events := []Event{connected, noBytes, oneByte, responseHead, created, full, unavailable, connClosed, deadline,
+		cancelled, lateWindowOver}
+	var walk func(a Attempt, path []Event, reported int, sent, nodeSaidNeverRan bool)
+	walk = func(a Attempt, path []Event, reported int, sent, nodeSaidNeverRan bool) {
 		if len(path) == 6 {
 			return
 		}
-		for _, ev := range evs {
-			b := a
-			n := settled
-			s, w := sent || ev.Kind == BytesWritten && ev.Bytes > 0, word || ev.Kind == ResponseComplete && ev.NeverRan && ev.Status == 503
-			for _, x := range b.Step(ev, nil) {
-				if x.Kind != ReportOutcome {
+		for _, ev := range events {
+			next := a
+			nextReported := reported
+			nextSent, nextNeverRan := sent || ev.Kind == BytesWritten && ev.Bytes > 0,
+				nodeSaidNeverRan || ev.Kind == ResponseComplete && ev.NeverRan && ev.Status == 503
+			for _, action := range next.Step(ev, nil) {
+				if action.Kind != ReportOutcome {
 					continue
 				}
-				if n++; n > 1 {
-					t.Fatalf("settled twice: %v", append(path, ev))
+				if nextReported++; nextReported > 1 {
+					t.Fatalf("two outcomes reported: %v", append(path, ev))
 				}
-				if x.Outcome.NeverRan() && s && !w {
+				if action.Outcome.NeverRan() && nextSent && !nextNeverRan {
 					t.Fatalf("never ran without proof: %v", fmt.Sprint(append(path, ev)))
 				}
 			}
-			walk(b, append(path[:len(path):len(path)], ev), n, s, w)
+			walk(next, append(path[:len(path):len(path)], ev), nextReported, nextSent, nextNeverRan)
 		}
 	}
 	for _, paid := range []bool{false, true} {
-		for _, first := range []Event{fresh, kept} {
+		for _, first := range []Event{startNew, startReused} {
 			a := Attempt{Paid: paid}
 			a.Step(first, nil)
 			walk(a, []Event{first}, 0, false, false)
