--- a/decide/release/release.go
+++ b/decide/release/release.go
@@ -1,15 +1,22 @@
-// Package release decides how a viewer hears that its session is over: on
-// which connection the release is written, when it is written again because
-// its connection closed or nothing came back, and when it is let go of.
+// Package release decides how a viewer is notified that its session has ended: on which connection the release
+// message is written, when it is written again because its connection closed or no confirmation came, and when it is
+// discarded.
 //
-// It is pure: facts with their time go in by Step, actions come out. Numbers of
-// sessions are the caller's, connections are decide/door's.
+// The package is pure: events and their time go in by Step, the messages to write come out. Session IDs are the
+// caller's, connection IDs are those of package connmgr.
 //
-//	Due    no connection could take it: the next look that finds one writes it
-//	Sent   written, and not yet confirmed by `released`
+// States of a release, and what the events do:
 //
-// A release that was written on a connection whose peer was closing it is read
-// by nobody, so only the viewer's own word ends the wait.
+//	Due   no connection is available
+//	      Tick: written if a connection is available now.
+//	Sent  written, but not yet confirmed by the viewer's `released`
+//	      ConnectionClosed, of the connection last written on: written on another, or Due if there is none.
+//	      Tick: written on another as well if RetransmitMs have passed, on at most maxConnections.
+//	any   Confirmed: discarded. Tick: discarded after RetentionMs. SessionEnded, of another session: the
+//	      oldest release is discarded if there are MaxPending.
+//
+// Only the viewer's own confirmation proves that a release was read: one that was written on a connection while the
+// peer was closing it is read by nobody.
 package release
 
 import (
@@ -18,32 +25,32 @@
 	"headmill/decide/connmgr"
 )
 
-// Session is the caller's number.
+// SessionID is the caller's ID of a session.
 type SessionID uint64
 
-// Config has the bounds; times in ms.
+// Config has the limits; times are in ms.
 type Config struct {
-	RetentionMs  float64 // for which a release is kept that no viewer has confirmed
-	RetransmitMs float64 // after which one that is not confirmed is written on another connection too
-	MaxPending   int     // releases kept; over it the oldest is let go of
+	RetentionMs  float64 // how long a release is kept without the viewer's confirmation
+	RetransmitMs float64 // after this time without confirmation it is written on another connection as well
+	MaxPending   int     // releases kept; at this limit the oldest is discarded
 }
 
-// sends is on how many connections that stay open a release is written: viewers that confirm nothing must not turn each
-// end into one message for every connection.
-const sends = 3
+// maxConnections is the number of open connections on which one release is written. Without it, viewers that confirm
+// nothing would turn each ended session into one message on every connection.
+const maxConnections = 3
 
 // EventKind tells which fields of an Event are set.
 type EventKind uint8
 
-// The events.
+// The kinds of events, with the fields that each one sets.
 const (
-	SessionEnded     EventKind = iota // Session, Cause, Conn: it has ended; Conn is that of its set-up, 0 where it is closed
-	Confirmed                         // Session: its viewer knows
-	ConnectionClosed                  // Conn: it is closed
-	Tick
+	SessionEnded     EventKind = iota // Session, Cause, Conn: the connection of its set-up, 0 if that has closed
+	Confirmed                         // Session: its viewer has confirmed the release
+	ConnectionClosed                  // Conn
+	Tick                              // time passes
 )
 
-// Event is one fact.
+// Event is one input of Step.
 type Event struct {
 	Kind    EventKind
 	Session SessionID
@@ -51,84 +58,88 @@
 	Conn    connmgr.ConnID
 }
 
-// Send is one release to write.
+// Transmission is one release to write on a connection.
 type Transmission struct {
 	Session SessionID
-	Cause   int
+	Cause   int // as in the SessionEnded event
 	Conn    connmgr.ConnID
 }
 
-// Voices finds the best connection for a word that belongs to none; skip tells which are not wanted.
+// ConnectionSelector finds the best connection for a message that belongs to no connection.
 type ConnectionSelector interface {
+	// SelectForMessage returns false if there is no connection for which skip returns false.
 	SelectForMessage(skip func(connmgr.ConnID) bool) (connmgr.ConnID, bool)
 }
 
+// pending is a release that its viewer has not confirmed.
 type pending struct {
-	Transmission // Conn is 0 while it is due
-	over, sent   float64
-	tried        []connmgr.ConnID // that are open still, as far as told
+	Transmission    // Conn is 0 while the release is due
+	endedAt, sentAt float64
+	triedConns      []connmgr.ConnID // it was written on these, and they are still open as far as is known
 }
 
-// Pending is the state for all sessions that are over and whose viewers have not confirmed it.
+// Retransmitter is the state of all releases that their viewers have not confirmed.
 type Retransmitter struct {
-	cfg   Config
-	list  []*pending // the oldest first
-	voice ConnectionSelector
+	cfg      Config
+	releases []*pending // oldest first
+	selector ConnectionSelector
 }
 
-// New makes an empty state that finds its connections by voices.
-func New(cfg Config, voices ConnectionSelector) *Retransmitter {
-	return &Retransmitter{cfg: cfg, voice: voices}
+// New returns a Retransmitter without releases that finds its connections with selector.
+func New(cfg Config, selector ConnectionSelector) *Retransmitter {
+	return &Retransmitter{cfg: cfg, selector: selector}
 }
 
-// Len is the number of releases that no viewer has confirmed.
-func (p *Retransmitter) Len() int { return len(p.list) }
+// Len returns the number of releases that have not been confirmed.
+func (rt *Retransmitter) Len() int { return len(rt.releases) }
 
-// Step takes one fact and appends what is to be written.
-func (p *Retransmitter) Step(now float64, ev Event, out []Transmission) []Transmission {
+// Step handles one event and appends the releases to write to out.
+func (rt *Retransmitter) Step(now float64, ev Event, out []Transmission) []Transmission {
 	switch ev.Kind {
 	case SessionEnded:
-		if len(p.list) >= p.cfg.MaxPending {
-			p.list = slices.Delete(p.list, 0, 1)
+		if len(rt.releases) >= rt.cfg.MaxPending {
+			rt.releases = slices.Delete(rt.releases, 0, 1)
 		}
-		r := &pending{Transmission: Transmission{Session: ev.Session, Cause: ev.Cause}, over: now}
-		p.list = append(p.list, r)
+		r := &pending{Transmission: Transmission{Session: ev.Session, Cause: ev.Cause}, endedAt: now}
+		rt.releases = append(rt.releases, r)
 		if ev.Conn != 0 {
 			return r.send(now, ev.Conn, out)
 		}
-		return p.try(r, now, out)
+		return rt.sendOnBest(r, now, out)
 	case Confirmed:
-		p.list = slices.DeleteFunc(p.list, func(r *pending) bool { return r.Session == ev.Session })
+		rt.releases = slices.DeleteFunc(rt.releases, func(r *pending) bool { return r.Session == ev.Session })
 	case ConnectionClosed:
-		for _, r := range p.list {
-			r.tried = slices.DeleteFunc(r.tried, func(c connmgr.ConnID) bool { return c == ev.Conn })
-			if r.Conn == ev.Conn { // nobody may have read it
+		for _, r := range rt.releases {
+			r.triedConns = slices.DeleteFunc(r.triedConns, func(c connmgr.ConnID) bool { return c == ev.Conn })
+			if r.Conn == ev.Conn { // the viewer may not have read it
 				r.Conn = 0
-				out = p.try(r, now, out)
+				out = rt.sendOnBest(r, now, out)
 			}
 		}
 	case Tick:
-		p.list = slices.DeleteFunc(p.list, func(r *pending) bool { return now-r.over >= p.cfg.RetentionMs })
-		for _, r := range p.list {
-			if r.Conn == 0 || now-r.sent >= p.cfg.RetransmitMs && len(r.tried) < sends {
-				out = p.try(r, now, out)
+		rt.releases = slices.DeleteFunc(rt.releases, func(r *pending) bool {
+			return now-r.endedAt >= rt.cfg.RetentionMs
+		})
+		for _, r := range rt.releases {
+			if r.Conn == 0 || now-r.sentAt >= rt.cfg.RetransmitMs && len(r.triedConns) < maxConnections {
+				out = rt.sendOnBest(r, now, out)
 			}
 		}
 	}
 	return out
 }
 
-// try writes a release on the best connection that has not had it; where there is none it stays as it is.
-func (p *Retransmitter) try(r *pending, now float64, out []Transmission) []Transmission {
-	c, ok := p.voice.SelectForMessage(func(c connmgr.ConnID) bool { return slices.Contains(r.tried, c) })
+// sendOnBest writes a release on the best connection that has not had it; if there is none, it stays as it is.
+func (rt *Retransmitter) sendOnBest(r *pending, now float64, out []Transmission) []Transmission {
+	conn, ok := rt.selector.SelectForMessage(func(c connmgr.ConnID) bool { return slices.Contains(r.triedConns, c) })
 	if !ok {
 		return out
 	}
-	return r.send(now, c, out)
+	return r.send(now, conn, out)
 }
 
-func (r *pending) send(now float64, c connmgr.ConnID, out []Transmission) []Transmission {
-	r.Conn, r.sent = c, now
-	r.tried = append(r.tried, c)
+func (r *pending) send(now float64, conn connmgr.ConnID, out []Transmission) []Transmission {
+	r.Conn, r.sentAt = conn, now
+	r.triedConns = append(r.triedConns, conn)
 	return append(out, r.Transmission)
 }
--- a/decide/release/release_test.go
+++ b/decide/release/release_test.go
@@ -8,56 +8,63 @@
 	"headmill/decide/connmgr"
 )
 
-// conns are connections, the best voice first.
-type conns []connmgr.ConnID
+// openConns is a ConnectionSelector with a fixed list of connections, the best first.
+type openConns []connmgr.ConnID
 
-func (l *conns) SelectForMessage(skip func(connmgr.ConnID) bool) (connmgr.ConnID, bool) {
-	for _, c := range *l {
-		if !skip(c) {
-			return c, true
+func (l *openConns) SelectForMessage(skip func(connmgr.ConnID) bool) (connmgr.ConnID, bool) {
+	for _, conn := range *l {
+		if !skip(conn) {
+			return conn, true
 		}
 	}
 	return 0, false
 }
 
+// Each path of a release, from the end of its session to the confirmation or the end of its retention. A step's want
+// has "session>connection " for each release written.
 func TestReleases(t *testing.T) {
-	over := func(id SessionID, c connmgr.ConnID) Event {
-		return Event{Kind: SessionEnded, Session: id, Cause: 16, Conn: c}
+	ended := func(id SessionID, conn connmgr.ConnID) Event {
+		return Event{Kind: SessionEnded, Session: id, Cause: 16, Conn: conn}
 	}
-	heard := Event{Kind: Confirmed, Session: 1}
-	left := func(c connmgr.ConnID) Event { return Event{Kind: ConnectionClosed, Conn: c} }
+	confirmed := Event{Kind: Confirmed, Session: 1}
+	closed := func(conn connmgr.ConnID) Event { return Event{Kind: ConnectionClosed, Conn: conn} }
 	tick := Event{Kind: Tick}
 	type step struct {
-		at   float64
-		open conns
-		ev   Event
-		want string
-		kept int
+		at      float64 // ms
+		open    openConns
+		event   Event
+		want    string
+		pending int
 	}
 	for name, steps := range map[string][]step{
-		"confirmed":              {{0, conns{7, 8}, over(1, 8), "1>8 ", 1}, {300, conns{7, 8}, heard, "", 0}, {400, conns{7, 8}, tick, "", 0}},
-		"its connection is gone": {{0, conns{7}, over(1, 0), "1>7 ", 1}},
-		"closed as it was written": {{0, conns{7, 8}, over(1, 8), "1>8 ", 1}, {1, conns{7}, left(8), "1>7 ", 1},
-			{2, conns{7}, heard, "", 0}},
-		"no connection": {{0, nil, over(1, 0), "", 1}, {5000, nil, tick, "", 1}, {5100, conns{9}, tick, "1>9 ", 1},
-			{5101, conns{9}, heard, "", 0}},
-		"the last connection closed": {{0, conns{7}, over(1, 7), "1>7 ", 1}, {1, nil, left(7), "", 1}, {100, conns{9}, tick, "1>9 ", 1}},
-		"never confirmed": {{0, conns{7, 8, 9, 10}, over(1, 7), "1>7 ", 1}, {332, conns{7, 8, 9, 10}, tick, "", 1},
-			{333, conns{7, 8, 9, 10}, tick, "1>8 ", 1}, {666, conns{7, 8, 9, 10}, tick, "1>9 ", 1},
-			{999, conns{7, 8, 9, 10}, tick, "", 1}, {7999, conns{7, 8, 9, 10}, tick, "", 1}, {8000, conns{10}, tick, "", 0}},
-		"one connection only": {{0, conns{7}, over(1, 7), "1>7 ", 1}, {333, conns{7}, tick, "", 1}, {400, conns{7}, tick, "", 1}},
-		"bound":               {{0, nil, over(1, 0), "", 1}, {0, nil, over(2, 0), "", 2}, {0, nil, over(3, 0), "", 2}, {1, conns{7}, tick, "2>7 3>7 ", 2}},
+		"confirmed": {{0, openConns{7, 8}, ended(1, 8), "1>8 ", 1}, {300, openConns{7, 8}, confirmed, "", 0},
+			{400, openConns{7, 8}, tick, "", 0}},
+		"connection of the set-up has closed": {{0, openConns{7}, ended(1, 0), "1>7 ", 1}},
+		"connection closes as it is written": {{0, openConns{7, 8}, ended(1, 8), "1>8 ", 1},
+			{1, openConns{7}, closed(8), "1>7 ", 1}, {2, openConns{7}, confirmed, "", 0}},
+		"no connection": {{0, nil, ended(1, 0), "", 1}, {5000, nil, tick, "", 1},
+			{5100, openConns{9}, tick, "1>9 ", 1}, {5101, openConns{9}, confirmed, "", 0}},
+		"the last connection closes": {{0, openConns{7}, ended(1, 7), "1>7 ", 1}, {1, nil, closed(7), "", 1},
+			{100, openConns{9}, tick, "1>9 ", 1}},
+		"never confirmed": {{0, openConns{7, 8, 9, 10}, ended(1, 7), "1>7 ", 1},
+			{332, openConns{7, 8, 9, 10}, tick, "", 1}, {333, openConns{7, 8, 9, 10}, tick, "1>8 ", 1},
+			{666, openConns{7, 8, 9, 10}, tick, "1>9 ", 1}, {999, openConns{7, 8, 9, 10}, tick, "", 1},
+			{7999, openConns{7, 8, 9, 10}, tick, "", 1}, {8000, openConns{10}, tick, "", 0}},
+		"one connection only": {{0, openConns{7}, ended(1, 7), "1>7 ", 1}, {333, openConns{7}, tick, "", 1},
+			{400, openConns{7}, tick, "", 1}},
+		"MaxPending reached": {{0, nil, ended(1, 0), "", 1}, {0, nil, ended(2, 0), "", 2},
+			{0, nil, ended(3, 0), "", 2}, {1, openConns{7}, tick, "2>7 3>7 ", 2}},
 	} {
-		open := conns{}
-		p := New(Config{RetentionMs: 8000, RetransmitMs: 333, MaxPending: 2}, &open)
+		open := openConns{}
+		rt := New(Config{RetentionMs: 8000, RetransmitMs: 333, MaxPending: 2}, &open)
 		for i, s := range steps {
 			open = slices.Clone(s.open)
 			got := ""
-			for _, a := range p.Step(s.at, s.ev, nil) {
-				got += fmt.Sprintf("%d>%d ", a.Session, a.Conn)
+			for _, tr := range rt.Step(s.at, s.event, nil) {
+				got += fmt.Sprintf("%d>%d ", tr.Session, tr.Conn)
 			}
-			if got != s.want || p.Len() != s.kept {
-				t.Errorf("%s, step %d: %q and %d kept, want %q and %d", name, i, got, p.Len(), s.want, s.kept)
+			if got != s.want || rt.Len() != s.pending {
+				t.Errorf("%s, step %d: %q and %d pending, want %q and %d", name, i, got, rt.Len(), s.want, s.pending)
 			}
 		}
 	}
