--- /dev/null
+++ b/decide/shutdown/shutdown.go
@@ -0,0 +1,113 @@
+// Package shutdown decides how a director shuts down: what it still accepts, what it lets finish, and when it stops
+// whatever is left. It is pure: the director's status and the time go in by Step, actions come out.
+//
+// Phases, what ends each one, and the actions on leaving it:
+//
+//	Serving           everything is accepted.
+//	                  Ends when a stop is requested: RefuseNewSessions.
+//	DrainingSetups    no new sessions; set-ups in progress finish and are answered.
+//	                  Ends once no request waits and NoticeMs have passed, or after SetupDrainMs:
+//	                  CloseListeners, and FailPending if requests still wait.
+//	DrainingSessions  all requests are answered; sessions play on for a limited time.
+//	                  Ends once no session plays, when SkipDrain is set, or after SessionDrainMs:
+//	                  EndSessions if sessions still play.
+//	EndingSessions    the remaining sessions are being ended at their media nodes.
+//	                  Ends once all ends are confirmed and all messages are sent, or after EndConfirmMs:
+//	                  CloseAllConnections.
+//	Stopped           the connections are closed, the process exits.
+//
+// Every phase after Serving has a time limit, so that a shutdown always ends.
+package shutdown
+
+// Config has the times of the phases, in ms.
+type Config struct {
+	NoticeMs       float64 // between refusing new sessions and closing the listeners, so that load balancers notice
+	SetupDrainMs   float64 // for set-ups in progress; at least the longest give-up of a class, or answers are cut off
+	SessionDrainMs float64 // for sessions that play
+	EndConfirmMs   float64 // for media nodes to confirm ended sessions, and for answers to be written
+}
+
+// Phase is the phase of a shutdown; see the package comment.
+type Phase uint8
+
+// The phases.
+const (
+	PhaseServing Phase = iota
+	PhaseDrainingSetups
+	PhaseDrainingSessions
+	PhaseEndingSessions
+	PhaseStopped
+)
+
+// phaseNames are the external names of the phases, in the order of the constants.
+var phaseNames = [...]string{"serving", "finishing", "playing", "ending", "gone"}
+
+func (p Phase) String() string { return phaseNames[p] }
+
+// Action is one thing to do at the change of a phase.
+type Action uint8
+
+// The actions.
+const (
+	RefuseNewSessions   Action = iota // refuse new sessions, and report so in health checks
+	CloseListeners                    // accept no further connections
+	FailPending                       // answer all waiting requests: failed, the set-up may have run
+	EndSessions                       // end all sessions at their media nodes
+	CloseAllConnections               // close all connections and exit
+)
+
+// Status is the input of Step: what the director observes of itself.
+type Status struct {
+	StopRequested   bool
+	SkipDrain       bool // a stop was requested a second time
+	PendingRequests int  // requests that wait for an answer
+	PlayingSessions int
+	UnconfirmedEnds int // ended sessions that their media nodes have not confirmed
+	UnsentMessages  int // connections with answers still to write, and releases that no viewer has confirmed
+}
+
+// Shutdown is the state of a shutdown.
+type Shutdown struct {
+	cfg            Config
+	phase          Phase
+	phaseStartedAt float64 // ms
+}
+
+// New returns the state of a director that is serving.
+func New(cfg Config) *Shutdown { return &Shutdown{cfg: cfg} }
+
+// Phase returns the current phase.
+func (s *Shutdown) Phase() Phase { return s.phase }
+
+func (s *Shutdown) enter(now float64, p Phase) { s.phase, s.phaseStartedAt = p, now }
+
+// Step evaluates the status at time now and appends the resulting actions to out. It may pass through several phases
+// at once.
+func (s *Shutdown) Step(now float64, status Status, out []Action) []Action {
+	if s.phase == PhaseServing && status.StopRequested {
+		s.enter(now, PhaseDrainingSetups)
+		out = append(out, RefuseNewSessions)
+	}
+	if s.phase == PhaseDrainingSetups && (status.PendingRequests == 0 && now-s.phaseStartedAt >= s.cfg.NoticeMs ||
+		now-s.phaseStartedAt >= s.cfg.SetupDrainMs) {
+		out = append(out, CloseListeners)
+		if status.PendingRequests > 0 { // every request gets an answer, also from a director that shuts down
+			out = append(out, FailPending)
+		}
+		s.enter(now, PhaseDrainingSessions)
+	}
+	if s.phase == PhaseDrainingSessions &&
+		(status.PlayingSessions == 0 || status.SkipDrain || now-s.phaseStartedAt >= s.cfg.SessionDrainMs) {
+		if status.PlayingSessions > 0 {
+			out = append(out, EndSessions)
+		}
+		s.enter(now, PhaseEndingSessions)
+		status.UnconfirmedEnds += status.PlayingSessions
+	}
+	if s.phase == PhaseEndingSessions &&
+		(status.UnconfirmedEnds+status.UnsentMessages == 0 || now-s.phaseStartedAt >= s.cfg.EndConfirmMs) {
+		s.enter(now, PhaseStopped)
+		out = append(out, CloseAllConnections)
+	}
+	return out
+}
--- /dev/null
+++ b/decide/shutdown/shutdown_test.go
@@ -0,0 +1,63 @@
+package shutdown
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Each path of a shutdown, as a list of statuses and the actions that follow.
+func TestShutdown(t *testing.T) {
+	type step struct {
+		at     float64 // ms
+		status Status
+		want   string // action names, each followed by a space
+	}
+	names := [...]string{"refuse_new", "close_listeners", "fail_pending", "end_sessions", "close_all"}
+	for name, steps := range map[string][]step{
+		"not requested": {{0, Status{PendingRequests: 3, PlayingSessions: 2}, ""}, {1e6, Status{}, ""}},
+		"idle": {{0, Status{StopRequested: true}, "refuse_new close_listeners close_all "},
+			{1, Status{StopRequested: true}, ""}},
+		"everything finishes": {
+			{0, Status{StopRequested: true, PendingRequests: 2, PlayingSessions: 5}, "refuse_new "},
+			{50, Status{StopRequested: true, PlayingSessions: 6}, "close_listeners "},
+			{90, Status{StopRequested: true, PlayingSessions: 0}, "close_all "}},
+		"answers take too long": {{0, Status{StopRequested: true, PendingRequests: 2}, "refuse_new "},
+			{99, Status{StopRequested: true, PendingRequests: 1}, ""},
+			{100, Status{StopRequested: true, PendingRequests: 1}, "close_listeners fail_pending close_all "}},
+		"sessions play on": {{0, Status{StopRequested: true, PlayingSessions: 4}, "refuse_new close_listeners "},
+			{999, Status{StopRequested: true, PlayingSessions: 4}, ""},
+			{1000, Status{StopRequested: true, PlayingSessions: 4}, "end_sessions "},
+			{1001, Status{StopRequested: true, UnconfirmedEnds: 1}, ""},
+			{1002, Status{StopRequested: true}, "close_all "}},
+		"a media node does not confirm": {
+			{0, Status{StopRequested: true, PlayingSessions: 1}, "refuse_new close_listeners "},
+			{1000, Status{StopRequested: true, PlayingSessions: 1}, "end_sessions "},
+			{1009, Status{StopRequested: true, UnconfirmedEnds: 1}, ""},
+			{1010, Status{StopRequested: true, UnconfirmedEnds: 1}, "close_all "}},
+		"an answer is still to be written": {
+			{0, Status{StopRequested: true, UnsentMessages: 1}, "refuse_new close_listeners "},
+			{9, Status{StopRequested: true, UnsentMessages: 1}, ""},
+			{9, Status{StopRequested: true}, "close_all "}},
+		"an answer is never written": {
+			{0, Status{StopRequested: true, UnsentMessages: 1}, "refuse_new close_listeners "},
+			{10, Status{StopRequested: true, UnsentMessages: 1}, "close_all "}},
+		"drain skipped": {{0, Status{StopRequested: true, PlayingSessions: 1}, "refuse_new close_listeners "},
+			{5, Status{StopRequested: true, SkipDrain: true, PlayingSessions: 1}, "end_sessions "},
+			{6, Status{StopRequested: true, SkipDrain: true}, "close_all "}},
+		"drain skipped, answers come first": {{0, Status{StopRequested: true, PendingRequests: 1}, "refuse_new "},
+			{5, Status{StopRequested: true, SkipDrain: true, PendingRequests: 1}, ""},
+			{100, Status{StopRequested: true, SkipDrain: true, PendingRequests: 1},
+				"close_listeners fail_pending close_all "}},
+	} {
+		s := New(Config{SetupDrainMs: 100, SessionDrainMs: 1000, EndConfirmMs: 10})
+		for i, step := range steps {
+			got := ""
+			for _, a := range s.Step(step.at, step.status, nil) {
+				got += names[a] + " "
+			}
+			if got != step.want {
+				t.Errorf("%s, step %d: %q, want %q (%s)", name, i, got, step.want, fmt.Sprint(s.Phase()))
+			}
+		}
+	}
+}
