--- a/decide/attempt/attempt.go
+++ b/decide/attempt/attempt.go
@@ -26,7 +26,7 @@
 //	Playing       the media node answered that the session plays; nothing more is expected
 //	Settled       the outcome, not Playing, has been reported; nothing more is expected
 //	AwaitingLate  the attempt timed out or was cancelled, but the connection stays open for a late answer
-//	              ResponseComplete: Closed, KeepConnection, and ReportLateSuccess or ReportNeverRan if it says so.
+//	              ResponseComplete: Closed, KeepConnection, and ReportLateSuccess or ReportNeverRan if it proves one.
 //	              ConnectionClosed: Closed. LateWindowOver: Closed, CloseConnection.
 //	Closed        nothing more can be learned
 package attempt
--- a/decide/attempt/attempt_test.go
+++ b/decide/attempt/attempt_test.go
@@ -30,7 +30,7 @@
 	created        = Event{Kind: ResponseComplete, Status: 201}
 	full           = Event{Kind: ResponseComplete, Status: 503, NeverRan: true}
 	unavailable    = Event{Kind: ResponseComplete, Status: 503}
-	internalError  = Event{Kind: ResponseComplete, Status: 500, NeverRan: true} // only a 503 may say so
+	internalError  = Event{Kind: ResponseComplete, Status: 500, NeverRan: true} // only a 503 proves it
 	connClosed     = Event{Kind: ConnectionClosed}
 	deadline       = Event{Kind: DeadlineExceeded}
 	cancelled      = Event{Kind: Cancelled}
--- a/decide/idempotency/ledger_test.go
+++ b/decide/idempotency/ledger_test.go
@@ -161,7 +161,7 @@
 	run(t, "unknown key", newTestLedger(), []step{{0, endRequest, ""}})
 }
 
-// The ledger refuses or fails requests over its limits, and never evicts a paid entry whose token is valid.
+// The ledger refuses or fails requests over its limits, and never evicts a paid entry whose token is still valid.
 func TestLimits(t *testing.T) {
 	l := newTestLedger()
 	run(t, "too many waiting", l, []step{{0, request(1, 1, true), "start s1; "}, {0, request(2, 2, true), ""},
