--- a/decide/idempotency/ledger.go
+++ b/decide/idempotency/ledger.go
@@ -17,8 +17,8 @@
 //	Ended           it ran and has ended                      paid: AnswerFailed; others: a new set-up
 //	NeverRan        it is proven not to have run              a new set-up
 //
-// A request whose fingerprint differs from that of the entry is failed in every state, and an EndRequested with another
-// fingerprint is ignored.
+// A request whose fingerprint differs from that of the entry is failed in every state, and an EndRequested with
+// another fingerprint is ignored.
 //
 // What the other events do, by state; an event that is not listed changes nothing:
 //
