--- a/internal/platform/dns/names.go
+++ b/internal/platform/dns/dns.go
@@ -17,12 +17,12 @@
 )
 
 // ErrAnswer is wrapped by every error about an answer that can't be used; the list stays as it was.
-var ErrAnswer = errors.New("names: answer can't be used")
+var ErrUnusableAnswer = errors.New("names: answer can't be used")
 
 // Words are the names of zones and kinds in the order of the settings.
 type Vocabulary struct{ Zones, Kinds []string }
 
-func place(list []string, name, what string) (int, error) {
+func indexOf(list []string, name, what string) (int, error) {
 	for i, s := range list {
 		if s == name {
 			return i, nil
@@ -32,9 +32,9 @@
 }
 
 // states are the platform's words for what decide/fleet knows.
-var states = map[string]string{"in_service": "ready", "terminating": "draining", "terminated": "gone"}
+var discoveryStates = map[string]string{"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 
-type host struct {
+type snapshotHost struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -51,8 +51,8 @@
 	Items []struct {
 		No     uint64 `json:"no"`
 		Roster *struct {
-			Whole bool   `json:"whole"`
-			Hosts []host `json:"hosts"`
+			Whole bool           `json:"whole"`
+			Hosts []snapshotHost `json:"hosts"`
 		} `json:"roster"`
 	} `json:"items"`
 }
@@ -93,16 +93,16 @@
 	return k, err
 }
 
-func (h *host) entry(w Vocabulary) (discovery.Entry, error) {
-	e := discovery.Entry{Name: h.Host, Addr: h.Dial, State: states[h.Health], StartedAtMs: h.BornMs, Cell: h.Block, Weight: h.Share}
+func (h *snapshotHost) entry(w Vocabulary) (discovery.Entry, error) {
+	e := discovery.Entry{Name: h.Host, Addr: h.Dial, State: discoveryStates[h.Health], StartedAtMs: h.BornMs, Cell: h.Block, Weight: h.Share}
 	var err error
 	if e.State == "" {
 		return e, fmt.Errorf("names: host %s: state %q is not known", h.Host, h.Health)
 	}
-	if e.Zone, err = place(w.Zones, h.Site, "site"); err != nil {
+	if e.Zone, err = indexOf(w.Zones, h.Site, "site"); err != nil {
 		return e, err
 	}
-	e.Kind, err = place(w.Kinds, h.Class, "class")
+	e.Kind, err = indexOf(w.Kinds, h.Class, "class")
 	return e, err
 }
 
@@ -117,8 +117,8 @@
 	return m.Pack()
 }
 
-func unusable(format string, a ...any) error {
-	return fmt.Errorf("%w: %s", ErrAnswer, fmt.Sprintf(format, a...))
+func unusableAnswer(format string, a ...any) error {
+	return fmt.Errorf("%w: %s", ErrUnusableAnswer, fmt.Sprintf(format, a...))
 }
 
 // ID is the number of the query that a datagram answers.
@@ -128,9 +128,9 @@
 	return h.ID, err == nil && h.Response
 }
 
-type node struct {
+type hostRecords struct {
 	addr netip.Addr
-	text []string
+	txt  []string
 }
 
 // Answer reads a whole list out of a datagram. An answer that was cut short, reports a failure or lacks a record that
@@ -138,19 +138,19 @@
 func ParseAnswer(b []byte, w Vocabulary) (m discovery.Message, err error) {
 	var d dnsmessage.Message
 	if err := d.Unpack(b); err != nil {
-		return m, unusable("%v", err)
+		return m, unusableAnswer("%v", err)
 	}
 	if d.RCode != dnsmessage.RCodeSuccess || d.Truncated {
-		return m, unusable("code %v, cut short %v", d.RCode, d.Truncated)
+		return m, unusableAnswer("code %v, cut short %v", d.RCode, d.Truncated)
 	}
 	var srv []*dnsmessage.SRVResource
-	nodes, serial, some := map[string]*node{}, uint64(0), false
+	nodes, serial, some := map[string]*hostRecords{}, uint64(0), false
 	for _, part := range [][]dnsmessage.Resource{d.Answers, d.Authorities, d.Additionals} {
 		for i := range part {
 			name := strings.ToLower(part[i].Header.Name.String())
 			n := nodes[name]
 			if n == nil {
-				n = &node{}
+				n = &hostRecords{}
 				nodes[name] = n
 			}
 			switch r := part[i].Body.(type) {
@@ -159,36 +159,36 @@
 			case *dnsmessage.AResource:
 				n.addr = netip.AddrFrom4(r.A)
 			case *dnsmessage.TXTResource:
-				n.text = r.TXT
+				n.txt = r.TXT
 			case *dnsmessage.SOAResource:
 				serial, some = uint64(r.Serial), true
 			}
 		}
 	}
 	if !some || len(srv) == 0 {
-		return m, unusable("%d hosts, serial there: %v", len(srv), some)
+		return m, unusableAnswer("%d hosts, serial there: %v", len(srv), some)
 	}
 	m = discovery.Message{Version: serial, Full: true}
 	for _, r := range srv {
 		target := strings.ToLower(r.Target.String())
 		n := nodes[target]
-		if n == nil || !n.addr.IsValid() || n.text == nil {
-			return m, unusable("host %s lacks its address or its text", target)
+		if n == nil || !n.addr.IsValid() || n.txt == nil {
+			return m, unusableAnswer("host %s lacks its address or its text", target)
 		}
 		label := strings.Split(target, ".")
 		if len(label) < 2 {
-			return m, unusable("host %s names no zone", target)
+			return m, unusableAnswer("host %s names no zone", target)
 		}
 		e := discovery.Entry{Name: label[0], Addr: netip.AddrPortFrom(n.addr, r.Port).String(), State: "ready",
 			Weight: float64(r.Weight) / 10}
 		if r.Priority != 0 {
 			e.State = "draining"
 		}
-		if e.Zone, err = place(w.Zones, label[1], "zone"); err != nil {
-			return m, unusable("%v", err)
+		if e.Zone, err = indexOf(w.Zones, label[1], "zone"); err != nil {
+			return m, unusableAnswer("%v", err)
 		}
-		if err = read(&e, n.text, w); err != nil {
-			return m, unusable("host %s: %v", target, err)
+		if err = parseTXT(&e, n.txt, w); err != nil {
+			return m, unusableAnswer("host %s: %v", target, err)
 		}
 		m.Entries = append(m.Entries, e)
 	}
@@ -196,12 +196,12 @@
 }
 
 // read takes kind, cell and start out of a host's text.
-func read(e *discovery.Entry, text []string, w Vocabulary) (err error) {
+func parseTXT(e *discovery.Entry, text []string, w Vocabulary) (err error) {
 	for _, word := range text {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "kind":
-			e.Kind, err = place(w.Kinds, value, "kind")
+			e.Kind, err = indexOf(w.Kinds, value, "kind")
 		case "cell":
 			e.Cell, err = strconv.Atoi(value)
 		case "started":
--- a/internal/platform/dns/names_test.go
+++ b/internal/platform/dns/dns_test.go
@@ -9,10 +9,10 @@
 	"headmill/decide/discovery"
 )
 
-var words = Vocabulary{Zones: []string{"east", "west"}, Kinds: []string{"std", "big"}}
+var testVocabulary = Vocabulary{Zones: []string{"east", "west"}, Kinds: []string{"std", "big"}}
 
 // datagram packs an answer; change may spoil it before.
-func datagram(t *testing.T, change func(*dnsmessage.Message)) []byte {
+func packAnswer(t *testing.T, change func(*dnsmessage.Message)) []byte {
 	t.Helper()
 	name := dnsmessage.MustNewName
 	h := func(n string) dnsmessage.ResourceHeader {
@@ -40,11 +40,11 @@
 }
 
 func TestAnswer(t *testing.T) {
-	b := datagram(t, nil)
+	b := packAnswer(t, nil)
 	if id, ok := MessageID(b); id != 77 || !ok {
 		t.Fatalf("id %d, %v", id, ok)
 	}
-	m, err := ParseAnswer(b, words)
+	m, err := ParseAnswer(b, testVocabulary)
 	if err != nil || m.Version != 41 || !m.Full || len(m.Entries) != 2 {
 		t.Fatalf("%+v, %v", m, err)
 	}
@@ -72,13 +72,13 @@
 		},
 		"cell no digit": func(m *dnsmessage.Message) { m.Additionals[1].Body.(*dnsmessage.TXTResource).TXT[1] = "cell=x" },
 	} {
-		if _, err := ParseAnswer(datagram(t, change), words); !errors.Is(err, ErrAnswer) {
+		if _, err := ParseAnswer(packAnswer(t, change), testVocabulary); !errors.Is(err, ErrUnusableAnswer) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	whole := datagram(t, nil)
+	whole := packAnswer(t, nil)
 	for n := range whole {
-		if _, err := ParseAnswer(whole[:n], words); err == nil {
+		if _, err := ParseAnswer(whole[:n], testVocabulary); err == nil {
 			t.Errorf("the first %d of %d bytes are taken", n, len(whole))
 		}
 	}
@@ -93,13 +93,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := k.Message(words)
+	m, err := k.Message(testVocabulary)
 	if err != nil || m.Version != 4 || len(m.Entries) != 2 || m.Entries[0].State != "ready" || m.Entries[1].State != "draining" ||
 		m.Entries[1].StartedAtMs != 9 {
 		t.Fatalf("%+v, %v", m, err)
 	}
 	k.Items[0].Roster.Hosts[0].Health = "asleep"
-	if _, err := k.Message(words); err == nil {
+	if _, err := k.Message(testVocabulary); err == nil {
 		t.Fatal("a state that is not known is taken")
 	}
 }
--- a/internal/platform/frame/frame.go
+++ b/internal/platform/frame/frame.go
@@ -26,7 +26,7 @@
 	Answer   Type = 9
 	Release  Type = 12
 	Released Type = 16
-	Note     Type = 44
+	Feedback Type = 44
 	Move     Type = 51
 	Ping     Type = 52
 	Pong     Type = 53
@@ -38,16 +38,16 @@
 
 // The parameters that directors write or read.
 const (
-	Class  Code = 1
-	Wait   Code = 2 // ms for which the director will wait
-	Title  Code = 5
-	Sort   Code = 8  // of a note
-	Report Code = 10 // NAME:VALUE;...
-	Rung   Code = 12
-	Value  Code = 13 // of a note
-	Cause  Code = 15 // one byte
-	SDP    Code = 16
-	last   Code = 16
+	Class         Code = 1
+	Wait          Code = 2 // ms for which the director will wait
+	Title         Code = 5
+	FeedbackKind  Code = 8  // of a note
+	Report        Code = 10 // NAME:VALUE;...
+	Rung          Code = 12
+	FeedbackValue Code = 13 // of a note
+	Cause         Code = 15 // one byte
+	SDP           Code = 16
+	maxCode       Code = 16
 )
 
 // ErrSpoilt is wrapped by every error about bytes that can't be read. The connection is of no further use: where the
@@ -58,15 +58,15 @@
 type Message struct {
 	Type    Type
 	Session uint64
-	values  [last + 1][]byte
-	has     uint32
+	values  [maxCode + 1][]byte
+	present uint32
 }
 
 // Get is the value of a parameter, nil where it is absent.
 func (m *Message) Get(c Code) []byte { return m.values[c] }
 
 // Has tells whether a parameter is there, be it empty.
-func (m *Message) Has(c Code) bool { return m.has&(1<<c) != 0 }
+func (m *Message) Has(c Code) bool { return m.present&(1<<c) != 0 }
 
 // Cause is the cause of a release or of a test's result; 0 where there is none.
 func (m *Message) Cause() byte {
@@ -76,9 +76,9 @@
 	return 0
 }
 
-func known(t Type) bool {
+func isKnownType(t Type) bool {
 	switch t {
-	case Setup, Progress, Answer, Release, Released, Note, Move, Ping, Pong, Rate:
+	case Setup, Progress, Answer, Release, Released, Feedback, Move, Ping, Pong, Rate:
 		return true
 	}
 	return false
@@ -90,7 +90,7 @@
 	if len(b) < 9 {
 		return fmt.Errorf("%w: %d bytes are too few", ErrMalformed, len(b))
 	}
-	if m.Type = Type(b[0]); !known(m.Type) {
+	if m.Type = Type(b[0]); !isKnownType(m.Type) {
 		return fmt.Errorf("%w: type %d", ErrMalformed, b[0])
 	}
 	m.Session = binary.BigEndian.Uint64(b[1:])
@@ -102,17 +102,17 @@
 		if n > len(b)-3 {
 			return fmt.Errorf("%w: parameter %d claims %d bytes of %d", ErrMalformed, c, n, len(b)-3)
 		}
-		if c == 0 || c > last || m.Has(c) {
+		if c == 0 || c > maxCode || m.Has(c) {
 			return fmt.Errorf("%w: parameter %d is unknown or comes twice", ErrMalformed, c)
 		}
-		m.values[c], m.has = b[3:3+n], m.has|1<<c
+		m.values[c], m.present = b[3:3+n], m.present|1<<c
 		b = b[3+n:]
 	}
-	return m.check()
+	return m.validate()
 }
 
 // check holds what each message must carry; noise that happens to fit the lengths fails here.
-func (m *Message) check() error {
+func (m *Message) validate() error {
 	if m.Has(Cause) && len(m.values[Cause]) != 1 {
 		return fmt.Errorf("%w: a cause of %d bytes", ErrMalformed, len(m.values[Cause]))
 	}
@@ -125,8 +125,8 @@
 		if !m.Has(Cause) {
 			return fmt.Errorf("%w: a release without a cause", ErrMalformed)
 		}
-	case Note:
-		if !m.Has(Sort) || !m.Has(Value) {
+	case Feedback:
+		if !m.Has(FeedbackKind) || !m.Has(FeedbackValue) {
 			return fmt.Errorf("%w: a note without sort or figure", ErrMalformed)
 		}
 	}
@@ -136,7 +136,7 @@
 // Reader cuts a stream into messages. One that waits for nothing holds no buffer.
 type Reader struct {
 	buf []byte
-	m   Message
+	msg Message
 }
 
 // Partial tells whether the beginning of a message waits for its rest.
@@ -154,17 +154,17 @@
 		if n < 9 || n+2 > MaxSize {
 			return fmt.Errorf("%w: a length of %d", ErrMalformed, n)
 		}
-		if len(b) >= 3 && !known(Type(b[2])) { // not to wait for the rest of noise
+		if len(b) >= 3 && !isKnownType(Type(b[2])) { // not to wait for the rest of noise
 			return fmt.Errorf("%w: type %d", ErrMalformed, b[2])
 		}
 		if len(b) < n+2 {
 			break
 		}
-		if err := r.m.Parse(b[2 : n+2]); err != nil {
+		if err := r.msg.Parse(b[2 : n+2]); err != nil {
 			return err
 		}
 		b = b[n+2:]
-		if !f(&r.m) {
+		if !f(&r.msg) {
 			return nil
 		}
 	}
@@ -184,7 +184,7 @@
 }
 
 // Add appends a parameter. A value is at most 65,535 bytes; what the director writes is bounded far below.
-func Add[T ~string | ~[]byte](out []byte, c Code, v T) []byte {
+func AppendParameter[T ~string | ~[]byte](out []byte, c Code, v T) []byte {
 	out = append(out, byte(c))
 	out = binary.BigEndian.AppendUint16(out, uint16(len(v)))
 	return append(out, v...)
@@ -199,7 +199,7 @@
 // AppendRelease appends a release with its cause.
 func AppendRelease(out []byte, session uint64, cause byte) []byte {
 	out, at := Begin(out, Release, session)
-	return End(Add(out, Cause, []byte{cause}), at)
+	return End(AppendParameter(out, Cause, []byte{cause}), at)
 }
 
 // AppendReleased appends the word that a release was heard.
--- a/internal/platform/frame/frame_test.go
+++ b/internal/platform/frame/frame_test.go
@@ -8,7 +8,7 @@
 
 func answer(id uint64, sdp string) []byte {
 	out, at := Begin(nil, Answer, id)
-	return End(Add(Add(out, Report, "outstanding:3"), SDP, sdp), at)
+	return End(AppendParameter(AppendParameter(out, Report, "outstanding:3"), SDP, sdp), at)
 }
 
 // Messages come whole in any split.
@@ -50,8 +50,11 @@
 		"answer without description": func() []byte { o, at := Begin(nil, Answer, 1); return End(o, at) }(),
 		"description not UTF-8":      answer(7, "\xff\xfe"),
 		"release without cause":      func() []byte { o, at := Begin(nil, Release, 1); return End(o, at) }(),
-		"cause of two bytes":         func() []byte { o, at := Begin(nil, Release, 1); return End(Add(o, Cause, "ab"), at) }(),
-		"note without figure":        func() []byte { o, at := Begin(nil, Note, 1); return End(Add(o, Sort, "got"), at) }(),
+		"cause of two bytes":         func() []byte { o, at := Begin(nil, Release, 1); return End(AppendParameter(o, Cause, "ab"), at) }(),
+		"note without figure": func() []byte {
+			o, at := Begin(nil, Feedback, 1)
+			return End(AppendParameter(o, FeedbackKind, "got"), at)
+		}(),
 	} {
 		var r Reader
 		err := r.Feed(b, func(m *Message) bool { t.Errorf("%s: taken as %+v", name, m); return true })
--- a/internal/platform/jsonline/lines.go
+++ b/internal/platform/jsonline/jsonline.go
@@ -48,93 +48,93 @@
 }
 
 type parser struct {
-	b []byte
-	i int
+	data []byte
+	pos  int
 }
 
-func (p *parser) fail(what string) error {
-	return fmt.Errorf("%w: %s at byte %d", ErrMalformed, what, p.i)
+func (p *parser) syntaxError(what string) error {
+	return fmt.Errorf("%w: %s at byte %d", ErrMalformed, what, p.pos)
 }
 
-func (p *parser) space() {
-	for p.i < len(p.b) && (p.b[p.i] == ' ' || p.b[p.i] == '\t' || p.b[p.i] == '\r' || p.b[p.i] == '\n') {
-		p.i++
+func (p *parser) skipSpace() {
+	for p.pos < len(p.data) && (p.data[p.pos] == ' ' || p.data[p.pos] == '\t' || p.data[p.pos] == '\r' || p.data[p.pos] == '\n') {
+		p.pos++
 	}
 }
 
 func (p *parser) peek() byte {
-	p.space()
-	if p.i < len(p.b) {
-		return p.b[p.i]
+	p.skipSpace()
+	if p.pos < len(p.data) {
+		return p.data[p.pos]
 	}
 	return 0
 }
 
-func (p *parser) take(c byte) bool {
+func (p *parser) accept(c byte) bool {
 	if p.peek() != c {
 		return false
 	}
-	p.i++
+	p.pos++
 	return true
 }
 
 // object calls f at the value of each member.
-func (p *parser) object(f func(name string) error) error {
-	if !p.take('{') {
-		return p.fail("no object")
+func (p *parser) parseObject(f func(name string) error) error {
+	if !p.accept('{') {
+		return p.syntaxError("no object")
 	}
-	if p.take('}') {
+	if p.accept('}') {
 		return nil
 	}
 	for {
 		if p.peek() != '"' {
-			return p.fail("no member's name")
+			return p.syntaxError("no member's name")
 		}
-		name, err := p.string()
+		name, err := p.parseString()
 		if err != nil {
 			return err
 		}
-		if !p.take(':') {
-			return p.fail("no colon")
+		if !p.accept(':') {
+			return p.syntaxError("no colon")
 		}
-		p.space()
+		p.skipSpace()
 		if err := f(name); err != nil {
 			return err
 		}
-		if p.take('}') {
+		if p.accept('}') {
 			return nil
 		}
-		if !p.take(',') {
-			return p.fail("no comma")
+		if !p.accept(',') {
+			return p.syntaxError("no comma")
 		}
 	}
 }
 
-func (p *parser) string() (string, error) {
-	if !p.take('"') {
-		return "", p.fail("no string")
+func (p *parser) parseString() (string, error) {
+	if !p.accept('"') {
+		return "", p.syntaxError("no string")
 	}
-	end := bytes.IndexAny(p.b[p.i:], "\"\\")
-	if end >= 0 && p.b[p.i+end] == '"' { // the usual case: nothing escaped
-		s := p.b[p.i : p.i+end]
-		p.i += end + 1
-		return p.checked(s)
+	end := bytes.IndexAny(p.data[p.pos:], "\"\\")
+	if end >= 0 && p.data[p.pos+end] == '"' { // the usual case: nothing escaped
+		s := p.data[p.pos : p.pos+end]
+		p.pos += end + 1
+		return p.validUTF8(s)
 	}
 	var out []byte
-	for p.i < len(p.b) {
-		c := p.b[p.i]
-		p.i++
+	for p.pos < len(p.data) {
+		c := p.data[p.pos]
+		p.pos++
 		switch {
 		case c == '"':
-			return p.checked(out)
+			return p.validUTF8(out)
 		case c != '\\':
 			out = append(out, c)
 			continue
-		case p.i >= len(p.b):
-			return "", p.fail("string without end")
+		case p.pos >= len(p.data):
+			return "", p.syntaxError("string without end")
 		}
-		c = p.b[p.i]
-		p.i++
+		c = p.data[p.pos]
+		p.pos++
 		switch c {
 		case '"', '\\', '/':
 			out = append(out, c)
@@ -149,147 +149,147 @@
 		case 't':
 			out = append(out, '\t')
 		case 'u':
-			r, err := p.hex4()
+			r, err := p.parseHex4()
 			if err != nil {
 				return "", err
 			}
 			if utf16.IsSurrogate(r) {
-				if p.i+1 >= len(p.b) || p.b[p.i] != '\\' || p.b[p.i+1] != 'u' {
-					return "", p.fail("half a surrogate pair")
+				if p.pos+1 >= len(p.data) || p.data[p.pos] != '\\' || p.data[p.pos+1] != 'u' {
+					return "", p.syntaxError("half a surrogate pair")
 				}
-				p.i += 2
-				low, err := p.hex4()
+				p.pos += 2
+				low, err := p.parseHex4()
 				if err != nil {
 					return "", err
 				}
 				if r = utf16.DecodeRune(r, low); r == utf8.RuneError {
-					return "", p.fail("no surrogate pair")
+					return "", p.syntaxError("no surrogate pair")
 				}
 			}
 			out = utf8.AppendRune(out, r)
 		default:
-			return "", p.fail("unknown escape")
+			return "", p.syntaxError("unknown escape")
 		}
 	}
-	return "", p.fail("string without end")
+	return "", p.syntaxError("string without end")
 }
 
 // checked turns down what no JSON string may hold unescaped and what is not UTF-8. Escaped controls are fine, so out
 // of an escaped string only the raw ones matter; those can't be told apart any more and are the line's own end.
-func (p *parser) checked(s []byte) (string, error) {
+func (p *parser) validUTF8(s []byte) (string, error) {
 	if !utf8.Valid(s) {
-		return "", p.fail("string that is not UTF-8")
+		return "", p.syntaxError("string that is not UTF-8")
 	}
 	return string(s), nil
 }
 
-func (p *parser) hex4() (rune, error) {
-	if p.i+4 > len(p.b) {
-		return 0, p.fail("short escape")
+func (p *parser) parseHex4() (rune, error) {
+	if p.pos+4 > len(p.data) {
+		return 0, p.syntaxError("short escape")
 	}
-	v, err := strconv.ParseUint(string(p.b[p.i:p.i+4]), 16, 16)
+	v, err := strconv.ParseUint(string(p.data[p.pos:p.pos+4]), 16, 16)
 	if err != nil {
-		return 0, p.fail("escape that is not hexadecimal")
+		return 0, p.syntaxError("escape that is not hexadecimal")
 	}
-	p.i += 4
+	p.pos += 4
 	return rune(v), nil
 }
 
 // number returns the text of a number in JSON's form (RFC 8259 section 6).
-func (p *parser) number() (string, error) {
-	from := p.i
+func (p *parser) parseNumber() (string, error) {
+	from := p.pos
 	digits := func() bool {
-		at := p.i
-		for p.i < len(p.b) && p.b[p.i] >= '0' && p.b[p.i] <= '9' {
-			p.i++
+		at := p.pos
+		for p.pos < len(p.data) && p.data[p.pos] >= '0' && p.data[p.pos] <= '9' {
+			p.pos++
 		}
-		return p.i > at
+		return p.pos > at
 	}
 	next := func(set string) bool {
-		if p.i < len(p.b) && strings.IndexByte(set, p.b[p.i]) >= 0 {
-			p.i++
+		if p.pos < len(p.data) && strings.IndexByte(set, p.data[p.pos]) >= 0 {
+			p.pos++
 			return true
 		}
 		return false
 	}
 	next("-")
 	if !next("0") && !digits() || next(".") && !digits() {
-		return "", p.fail("no number")
+		return "", p.syntaxError("no number")
 	}
 	if next("eE") {
 		next("+-")
 		if !digits() {
-			return "", p.fail("no number")
+			return "", p.syntaxError("no number")
 		}
 	}
-	return string(p.b[from:p.i]), nil
+	return string(p.data[from:p.pos]), nil
 }
 
-func (p *parser) skip(depth int) error {
+func (p *parser) skipValue(depth int) error {
 	if depth > maxDepth {
-		return p.fail("nested too deep")
+		return p.syntaxError("nested too deep")
 	}
 	switch c := p.peek(); {
 	case c == '"':
-		_, err := p.string()
+		_, err := p.parseString()
 		return err
 	case c == '{':
-		return p.object(func(string) error { return p.skip(depth + 1) })
+		return p.parseObject(func(string) error { return p.skipValue(depth + 1) })
 	case c == '[':
-		p.i++
-		if p.take(']') {
+		p.pos++
+		if p.accept(']') {
 			return nil
 		}
 		for {
-			if err := p.skip(depth + 1); err != nil {
+			if err := p.skipValue(depth + 1); err != nil {
 				return err
 			}
-			if p.take(']') {
+			if p.accept(']') {
 				return nil
 			}
-			if !p.take(',') {
-				return p.fail("no comma")
+			if !p.accept(',') {
+				return p.syntaxError("no comma")
 			}
 		}
 	case c == '-' || c >= '0' && c <= '9':
-		_, err := p.number()
+		_, err := p.parseNumber()
 		return err
 	}
 	for _, word := range []string{"true", "false", "null"} {
-		if bytes.HasPrefix(p.b[p.i:], []byte(word)) {
-			p.i += len(word)
+		if bytes.HasPrefix(p.data[p.pos:], []byte(word)) {
+			p.pos += len(word)
 			return nil
 		}
 	}
-	return p.fail("no value")
+	return p.syntaxError("no value")
 }
 
 // Parse reads one line, with or without its line feed. Members that are not known are passed over; a known one of the
 // wrong kind, or one that comes twice, makes the line unreadable. On an error m holds what was read before it.
 func Parse(line []byte, m *Message) error {
 	*m = Message{Fields: m.Fields[:0], Cause: -1}
-	p := &parser{b: line}
+	p := &parser{data: line}
 	var seen [5]bool
 	once := func(i int, name string) error {
 		if seen[i] {
-			return p.fail("second " + name)
+			return p.syntaxError("second " + name)
 		}
 		seen[i] = true
 		return nil
 	}
-	err := p.object(func(name string) (err error) {
+	err := p.parseObject(func(name string) (err error) {
 		switch name {
 		case "type":
 			if err = once(0, name); err == nil {
-				m.Type, err = p.string()
+				m.Type, err = p.parseString()
 			}
 		case "id":
 			if err = once(1, name); err == nil {
-				m.ID, err = p.string()
+				m.ID, err = p.parseString()
 			}
 		case "sdp":
 			if err = once(2, name); err == nil {
-				m.SDP, err = p.string()
+				m.SDP, err = p.parseString()
 				m.HasSDP = err == nil
 			}
 		case "cause":
@@ -297,43 +297,43 @@
 				return err
 			}
 			var text string
-			if text, err = p.number(); err != nil {
+			if text, err = p.parseNumber(); err != nil {
 				return err
 			}
 			if m.Cause, err = strconv.Atoi(text); err != nil || m.Cause < 0 || m.Cause > 255 {
-				m.Cause, err = -1, p.fail("cause that is no byte")
+				m.Cause, err = -1, p.syntaxError("cause that is no byte")
 			}
 		case "fields":
 			if err = once(4, name); err == nil {
-				err = p.object(func(name string) error { return p.field(m, name) })
+				err = p.parseObject(func(name string) error { return p.parseField(m, name) })
 			}
 		default:
-			err = p.skip(1)
+			err = p.skipValue(1)
 		}
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	if p.peek() != 0 || p.i < len(p.b) {
-		return p.fail("more after the object")
+	if p.peek() != 0 || p.pos < len(p.data) {
+		return p.syntaxError("more after the object")
 	}
 	if m.Type == "" {
-		return p.fail("no type")
+		return p.syntaxError("no type")
 	}
 	return nil
 }
 
-func (p *parser) field(m *Message, name string) error {
+func (p *parser) parseField(m *Message, name string) error {
 	if _, twice := m.Get(name); twice || len(m.Fields) == maxFields {
-		return p.fail("field " + name + " twice, or too many fields")
+		return p.syntaxError("field " + name + " twice, or too many fields")
 	}
 	var v string
 	var err error
 	if p.peek() == '"' {
-		v, err = p.string()
+		v, err = p.parseString()
 	} else {
-		v, err = p.number()
+		v, err = p.parseNumber()
 	}
 	if err == nil {
 		m.Fields = append(m.Fields, Field{name, v})
@@ -369,20 +369,20 @@
 	return out
 }
 
-func begin(out []byte, kind string, id uint64) []byte {
+func appendHead(out []byte, kind string, id uint64) []byte {
 	out = append(append(append(out, `{"type":"`...), kind...), `","id":"`...)
 	return append(AppendID(out, id), `","fields":{`...)
 }
 
 // AppendAnswer appends an answer with its description.
 func AppendAnswer(out []byte, id uint64, sdp []byte) []byte {
-	out = append(begin(out, "answer", id), `},"sdp":`...)
+	out = append(appendHead(out, "answer", id), `},"sdp":`...)
 	return append(appendString(out, sdp), '}', '\n')
 }
 
 // AppendRelease appends a release; a wait (ms) over 0 is given as advice.
 func AppendRelease(out []byte, id uint64, cause int, waitMs float64) []byte {
-	out = begin(out, "release", id)
+	out = appendHead(out, "release", id)
 	if waitMs > 0 {
 		out = append(strconv.AppendInt(append(out, `"wait":"`...), int64(waitMs+0.5), 10), '"')
 	}
@@ -391,7 +391,7 @@
 
 // AppendReleased appends the word that a release was heard.
 func AppendReleased(out []byte, id uint64) []byte {
-	return append(begin(out, "released", id), '}', '}', '\n')
+	return append(appendHead(out, "released", id), '}', '}', '\n')
 }
 
 // AppendPong appends a test's result; the id is echoed as it came.
--- a/internal/platform/proxy/config.go
+++ b/internal/platform/proxy/config.go
@@ -18,23 +18,23 @@
 
 // Config is what the platform tells a director in the file that PROXY_CONFIG names.
 type Config struct {
-	Name, Listen, DNS string
-	Seed              uint64
-	Sockets           int     // descriptors that the process may hold
-	MemoryMB          float64 // over which it is killed
-	Cores             float64 // that its processes get together
-	Snapshot          dns.Snapshot
-	Module            headmill.Config
-	Fields            []string // of a load report, in the order of the settings
-	Vocabulary        dns.Vocabulary
-	Classes, Tenants  map[string]int
-	DeadlineMs        []float64 // longest wait of each class
-	ConnectMs         float64   // for a connection to a media node
-	KeepAliveMs       float64   // after which media nodes close a connection that rests
-	DrainGraceMs      float64   // for which a drain that was told may be overlooked
+	Name, Listen, DNS       string
+	Seed                    uint64
+	Sockets                 int     // descriptors that the process may hold
+	MemoryMB                float64 // over which it is killed
+	Cores                   float64 // that its processes get together
+	Snapshot                dns.Snapshot
+	Module                  headmill.Config
+	ReportFields            []string // of a load report, in the order of the settings
+	Vocabulary              dns.Vocabulary
+	ClassIndex, TenantIndex map[string]int
+	DeadlineMs              []float64 // longest wait of each class
+	ConnectMs               float64   // for a connection to a media node
+	KeepAliveMs             float64   // after which media nodes close a connection that rests
+	DrainGraceMs            float64   // for which a drain that was told may be overlooked
 }
 
-type file struct {
+type configFile struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 	Seed   string `json:"seed"`
@@ -63,12 +63,12 @@
 
 // Parse reads and checks a configuration.
 func Parse(text []byte) (*Config, error) {
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, DNS: f.DNS, Sockets: f.Limits.Sockets, MemoryMB: f.Limits.MemoryMB,
-		Cores: f.Limits.Cores, Classes: map[string]int{}, Tenants: map[string]int{}}
+		Cores: f.Limits.Cores, ClassIndex: map[string]int{}, TenantIndex: map[string]int{}}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %q is not hexadecimal", f.Seed)
@@ -87,10 +87,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Module, c.Fields = s.Config, s.Fields
-	c.Vocabulary = dns.Vocabulary{Zones: split(kv["dcs"]), Kinds: split(kv["skus"])}
-	if err := each(kv, "categories", func(i int, p string) error {
-		c.Classes[kv[p+"name"]] = i
+	c.Module, c.ReportFields = s.Config, s.Fields
+	c.Vocabulary = dns.Vocabulary{Zones: splitList(kv["dcs"]), Kinds: splitList(kv["skus"])}
+	if err := forEachObject(kv, "categories", func(i int, p string) error {
+		c.ClassIndex[kv[p+"name"]] = i
 		ms, err := strconv.ParseFloat(kv[p+"give_up_ms"], 64)
 		if err != nil || !(ms > 0) {
 			return fmt.Errorf("settings.%sgive_up_ms is %q", p, kv[p+"give_up_ms"])
@@ -100,7 +100,7 @@
 	}); err != nil {
 		return nil, err
 	}
-	if err := each(kv, "tenants", func(i int, p string) error { c.Tenants[kv[p+"name"]] = i; return nil }); err != nil {
+	if err := forEachObject(kv, "tenants", func(i int, p string) error { c.TenantIndex[kv[p+"name"]] = i; return nil }); err != nil {
 		return nil, err
 	}
 	if len(c.DeadlineMs) == 0 {
@@ -110,7 +110,7 @@
 		key  string
 		to   *float64
 		none float64 // where the settings state none
-	}{{"allowed.connect_timeout_ms", &c.ConnectMs, slices.Min(c.DeadlineMs) / 4}, {"allowed.keepalive_ms", &c.KeepAliveMs, 1.5 * restMs},
+	}{{"allowed.connect_timeout_ms", &c.ConnectMs, slices.Min(c.DeadlineMs) / 4}, {"allowed.keepalive_ms", &c.KeepAliveMs, 1.5 * idleTimeoutMs},
 		{"safety.drain_grace_ms", &c.DrainGraceMs, 0}} {
 		*f.to = f.none
 		if v, ok := kv[f.key]; ok {
@@ -135,7 +135,7 @@
 }
 
 // each calls f for the items of a list of objects.
-func each(kv map[string]string, key string, f func(i int, prefix string) error) error {
+func forEachObject(kv map[string]string, key string, f func(i int, prefix string) error) error {
 	n, err := strconv.Atoi(kv[key+".count"])
 	if _, there := kv[key+".count"]; there && err != nil {
 		return fmt.Errorf("settings.%s is no list of objects", key)
@@ -148,7 +148,7 @@
 	return nil
 }
 
-func split(s string) []string {
+func splitList(s string) []string {
 	if s == "" {
 		return nil
 	}
@@ -165,18 +165,18 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	kv := map[string]string{}
-	flatten(kv, "", v)
+	flattenValue(kv, "", v)
 	return kv, nil
 }
 
-func flatten(kv map[string]string, path string, v any) {
+func flattenValue(kv map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for name, x := range v {
 			if path != "" {
 				name = path + "." + name
 			}
-			flatten(kv, name, x)
+			flattenValue(kv, name, x)
 		}
 	case []any:
 		var plain []string
@@ -184,7 +184,7 @@
 		for i, x := range v {
 			if _, ok := x.(map[string]any); ok {
 				objects = true
-				flatten(kv, fmt.Sprintf("%s.%d", path, i), x)
+				flattenValue(kv, fmt.Sprintf("%s.%d", path, i), x)
 				continue
 			}
 			plain = append(plain, fmt.Sprint(x))
--- a/internal/platform/proxy/config_test.go
+++ b/internal/platform/proxy/config_test.go
@@ -21,8 +21,8 @@
 		t.Fatal(err)
 	}
 	m := &c.Module
-	if c.Seed != 0x8c1f || c.ConnectMs != 120.5 || c.Sockets != 256 || c.Cores != 0.5 || c.Classes["free"] != 1 || c.Tenants["b"] != 1 ||
-		c.DeadlineMs[1] != 5000 || c.Vocabulary.Zones[1] != "west" || c.Vocabulary.Kinds[1] != "big" || len(c.Fields) != 2 ||
+	if c.Seed != 0x8c1f || c.ConnectMs != 120.5 || c.Sockets != 256 || c.Cores != 0.5 || c.ClassIndex["free"] != 1 || c.TenantIndex["b"] != 1 ||
+		c.DeadlineMs[1] != 5000 || c.Vocabulary.Zones[1] != "west" || c.Vocabulary.Kinds[1] != "big" || len(c.ReportFields) != 2 ||
 		m.Self != 1 || m.Fronts != 3 || m.RateKB[1] != 200.5 || m.Classes[1].MinRung != 1 || m.Classes[1].RateScale != 0.7 {
 		t.Fatalf("%+v", c)
 	}
@@ -58,24 +58,24 @@
 // Two directors of unlike settings in one process: classes, tenants, times to come back, waits and attempts of one never
 // reach the other.
 func TestTwoCustomersSideBySide(t *testing.T) {
-	a := startRig(t, 2, nil)
-	b := startRig(t, 2, func(c *Config) {
-		c.Classes, c.Tenants = map[string]int{"gold": 0, "paid": 1}, map[string]int{"zeta": 0} // "paid" may be repeated here
+	a := startHarness(t, 2, nil)
+	b := startHarness(t, 2, func(c *Config) {
+		c.ClassIndex, c.TenantIndex = map[string]int{"gold": 0, "paid": 1}, map[string]int{"zeta": 0} // "paid" may be repeated here
 		c.DeadlineMs = []float64{1000, 500}
 		c.Module.Classes[0].Semantics, c.Module.Classes[1].Semantics = headmill.AtMostOnce, headmill.Repeatable
 		c.Module.MaxRetryAfterMs, c.Module.MaxAttempts = 123, 2
 	})
-	ask := func(r *rig, class, tenant, left string) (*caller, reply) {
-		v := r.call()
-		v.say(`{"type":"setup","id":"%s","fields":{"class":"%s","left":"%s","tenant":"%s","key":"7f3a9c21e0b4d655","extras":"home:0;copies:2;top:0"},"sdp":"x"}`,
+	ask := func(r *harness, class, tenant, left string) (*viewerClient, receivedLine) {
+		v := r.dialViewer()
+		v.send(`{"type":"setup","id":"%s","fields":{"class":"%s","left":"%s","tenant":"%s","key":"7f3a9c21e0b4d655","extras":"home:0;copies:2;top:0"},"sdp":"x"}`,
 			id1, class, left, tenant)
-		_, s := r.setup()
-		s.release(causeError)
+		_, s := r.expectSetup()
+		s.sendRelease(causeError)
 		if class == "paid" && r == b { // the second of its two attempts
-			_, s = r.setup()
-			s.release(causeError)
+			_, s = r.expectSetup()
+			s.sendRelease(causeError)
 		}
-		return v, v.hear()
+		return v, v.receive()
 	}
 	if _, e := ask(a, "paid", "acme", "3000"); e.Cause != causeError || a.stats().Attempts != 1 {
 		t.Errorf("a paid set-up of the first: %+v, %+v", e, a.stats())
@@ -84,14 +84,14 @@
 		t.Errorf("a repeatable one of the second: %+v, %+v", e, b.stats())
 	}
 	for _, x := range []struct {
-		r                   *rig
+		r                   *harness
 		class, tenant, left string
 	}{{a, "gold", "acme", "500"}, {a, "paid", "zeta", "500"}, {b, "free", "zeta", "500"}, {b, "paid", "acme", "500"},
 		{b, "paid", "zeta", "3000"}} {
-		v := x.r.call()
-		v.say(`{"type":"setup","id":"%s","fields":{"class":"%s","left":"%s","tenant":"%s","key":"7f3a9c21e0b4d655","extras":"home:0;copies:2;top:0"},"sdp":"x"}`,
+		v := x.r.dialViewer()
+		v.send(`{"type":"setup","id":"%s","fields":{"class":"%s","left":"%s","tenant":"%s","key":"7f3a9c21e0b4d655","extras":"home:0;copies:2;top:0"},"sdp":"x"}`,
 			id2, x.class, x.left, x.tenant)
-		if e := v.hear(); e.Type != "release" || e.Cause != causeInvalid {
+		if e := v.receive(); e.Type != "release" || e.Cause != causeInvalidField {
 			t.Errorf("%s of %s within %s ms: %+v", x.class, x.tenant, x.left, e)
 		}
 	}
@@ -100,7 +100,7 @@
 // Times come from the settings; where those state none, from others of theirs.
 func TestTimesOfTheSettings(t *testing.T) {
 	c, err := Parse([]byte(goodConfig))
-	if err != nil || c.ConnectMs != 120.5 || c.KeepAliveMs != 1.5*restMs || c.DrainGraceMs != 0 {
+	if err != nil || c.ConnectMs != 120.5 || c.KeepAliveMs != 1.5*idleTimeoutMs || c.DrainGraceMs != 0 {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	text := strings.Replace(goodConfig, `"connect_timeout_ms":120.5`, `"keepalive_ms":15000`, 1)
@@ -126,8 +126,8 @@
 				t.Fatal(err)
 			}
 			c.Module.ReportIntervalMs, c.Module.ReportDelayMs, c.ConnectMs = tell, tell/2, connect
-			w := silence(c)
-			if w.NodeTimeoutMs+2*sweepMs > oweMs || w.NodeTimeoutMs <= w.StreamTimeoutMs || w.StreamTimeoutMs <= 0 {
+			w := healthConfig(c)
+			if w.NodeTimeoutMs+2*sweepIntervalMs > releaseRetentionMs || w.NodeTimeoutMs <= w.StreamTimeoutMs || w.StreamTimeoutMs <= 0 {
 				t.Errorf("loads each %v ms, connections in %v: silent after %v, lost after %v", tell, connect, w.StreamTimeoutMs, w.NodeTimeoutMs)
 			}
 		}
--- /dev/null
+++ b/internal/platform/proxy/harness_test.go
@@ -0,0 +1,458 @@
+package proxy
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"golang.org/x/net/dns/dnsmessage"
+	"golang.org/x/sys/unix"
+
+	"headmill"
+	"headmill/decide/discovery"
+	"headmill/internal/loop"
+	"headmill/internal/platform/frame"
+	"headmill/internal/platform/jsonline"
+)
+
+const testTimeout = 10 * time.Second // for what must come; a test that waits so long has failed
+
+// media is one media node: what comes goes to the test, which says what is written.
+type standInNode struct {
+	t        *testing.T
+	listener net.Listener
+	name     string
+	received chan nodeMessage
+	mu       sync.Mutex
+	conns    []net.Conn
+}
+
+// seen is a message with the connection that it came on.
+type nodeMessage struct {
+	typ              frame.Type
+	id               uint64
+	class, rung, sdp string
+	cause            byte
+	conn             net.Conn
+}
+
+func startStandInNode(t *testing.T, name string) *standInNode {
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := &standInNode{t: t, listener: ln, name: name, received: make(chan nodeMessage, 1000)}
+	go m.serve(ln)
+	t.Cleanup(func() { ln.Close(); m.resetConns() })
+	return m
+}
+
+func (n *standInNode) serve(ln net.Listener) {
+	for {
+		c, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		n.mu.Lock()
+		n.conns = append(n.conns, c)
+		n.mu.Unlock()
+		go n.read(c)
+	}
+}
+
+func (n *standInNode) read(c net.Conn) {
+	var r frame.Reader
+	b := make([]byte, 4096)
+	for {
+		size, err := c.Read(b)
+		if err != nil {
+			return
+		}
+		if err := r.Feed(b[:size], func(x *frame.Message) bool {
+			n.received <- nodeMessage{x.Type, x.Session, string(x.Get(frame.Class)), string(x.Get(frame.Rung)), string(x.Get(frame.SDP)), x.Cause(), c}
+			return true
+		}); err != nil {
+			n.t.Errorf("%s got what it can't read: %v", n.name, err)
+			return
+		}
+	}
+}
+
+// cut resets all connections.
+func (n *standInNode) resetConns() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, c := range n.conns {
+		c.(*net.TCPConn).SetLinger(0)
+		c.Close()
+	}
+	n.conns = nil
+}
+
+// want waits for the next message of a type; others are passed over.
+func (n *standInNode) expect(typ frame.Type) nodeMessage {
+	n.t.Helper()
+	for late := time.After(testTimeout); ; {
+		select {
+		case s := <-n.received:
+			if s.typ == typ {
+				return s
+			}
+		case <-late:
+			n.t.Fatalf("%s: no message of type %d came", n.name, typ)
+		}
+	}
+}
+
+func (s nodeMessage) sendAnswer(sdp string) {
+	out, at := frame.Begin(nil, frame.Answer, s.id)
+	s.conn.Write(frame.End(frame.AppendParameter(out, frame.SDP, sdp), at))
+}
+
+func (s nodeMessage) sendRelease(cause byte) { s.conn.Write(frame.AppendRelease(nil, s.id, cause)) }
+
+// rig is a director with its media nodes, each alone in its cell; every title is held by all.
+type harness struct {
+	t       *testing.T
+	proxy   *Proxy
+	loop    *loop.Loop
+	addr    string
+	nodes   []*standInNode
+	dnsConn *net.UDPConn
+	cfg     *Config
+	done    chan struct{} // closed once the loop has ended
+}
+
+func startHarness(t *testing.T, nodes int, change func(*Config)) *harness {
+	t.Helper()
+	h := &harness{t: t}
+	dns, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { dns.Close() })
+	h.dnsConn = dns
+	var hosts []string
+	for i := range nodes {
+		m := startStandInNode(t, fmt.Sprintf("s-%d", i))
+		h.nodes = append(h.nodes, m)
+		hosts = append(hosts, fmt.Sprintf(`{"host":"%s","dial":"%s","site":"east","class":"std","block":%d,"health":"in_service","share":1,"born_ms":0}`,
+			m.name, m.listener.Addr(), i))
+	}
+	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","dns":"%s",
+		"limits":{"cores":1,"memory_mb":64,"sockets":256},
+		"known":{"no":1,"items":[{"no":1,"roster":{"whole":true,"hosts":[%s]}}]},
+		"settings":{"me":0,"replicas_of_me":1,"zone":0,"dcs":["east","west"],"skus":["std"],"discovery":"automatic",
+		"allowed":{"max_attempts":3,"retry_after":true,"max_retry_after_ms":700,"connect_timeout_ms":250},
+		"categories":[{"name":"paid","give_up_ms":3000,"slo_ms":1000,"semantics":"once","value":3},
+			{"name":"free","give_up_ms":3000,"slo_ms":1000,"semantics":"repeatable","value":1}],
+		"tenants":[{"name":"acme"}],
+		"feedback":{"source":"inline","fields":["outstanding","x0","x1"]},
+		"family_info":{"level_kb":[100,200],"ladder_worth":[0.5,1],"cells":%d,"racks":1,"places_by_kind":[20],
+			"all_links_kb":%d,"uplink_kb":100000,"link_unit_kb":1000,"scale_by_class":[1,1],"floor_by_class":[0,0],
+			"top_by_class":[1,1],"class_seats":[0,0],"switch_s":0.5,"tell_ms":2500,"told_late_ms":1000},
+		"safety":{"warm_within_ms":1000,"cold_from":0.4,"answer_slack_ms":40}}}`,
+		dns.LocalAddr(), strings.Join(hosts, ","), nodes, nodes*1000)
+	if h.cfg, err = Parse([]byte(text)); err != nil {
+		t.Fatal(err)
+	}
+	if change != nil {
+		change(h.cfg)
+	}
+	if h.loop, err = loop.New(); err != nil {
+		t.Fatal(err)
+	}
+	if h.proxy, err = New(h.cfg, h.loop, slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil {
+		t.Fatal(err)
+	}
+	if err := h.proxy.Start(); err != nil {
+		t.Fatal(err)
+	}
+	h.addr = h.proxy.Addr()
+	h.done, h.proxy.Done = make(chan struct{}), h.loop.Stop
+	go func() { h.loop.Run(); close(h.done) }()
+	t.Cleanup(func() { h.loop.Stop(); <-h.done })
+	return h
+}
+
+// stats asks for the counters on the loop's goroutine.
+func (h *harness) stats() Stats {
+	ch := make(chan Stats, 1)
+	h.loop.Post(func() { ch <- h.proxy.stats })
+	return <-ch
+}
+
+// setup waits for a set-up at any media node.
+func (h *harness) expectSetup() (*standInNode, nodeMessage) {
+	h.t.Helper()
+	for late := time.Now().Add(testTimeout); time.Now().Before(late); {
+		for _, m := range h.nodes {
+			select {
+			case s := <-m.received:
+				if s.typ == frame.Setup {
+					return m, s
+				}
+			default:
+			}
+		}
+		time.Sleep(time.Millisecond)
+	}
+	h.t.Fatal("no set-up came to any media node")
+	return nil, nodeMessage{}
+}
+
+// caller is one connection from viewers.
+type viewerClient struct {
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
+}
+
+func (h *harness) dialViewer() *viewerClient {
+	h.t.Helper()
+	c, err := net.Dial("tcp4", h.addr)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.t.Cleanup(func() { c.Close() })
+	return &viewerClient{h.t, c, bufio.NewReader(c)}
+}
+
+func (v *viewerClient) send(format string, a ...any) { fmt.Fprintf(v.conn, format+"\n", a...) }
+
+func (v *viewerClient) sendSetup(id, class, extras string) {
+	v.send(`{"type":"setup","id":"%s","fields":{"class":"%s","left":"3000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:%s"},"sdp":"o\r\n\"%s\""}`,
+		id, class, extras, id)
+}
+
+type receivedLine struct {
+	Type, ID, SDP string
+	Cause         int
+	Fields        map[string]string
+}
+
+// hear waits for the next line.
+func (v *viewerClient) receive() receivedLine {
+	v.t.Helper()
+	v.conn.SetReadDeadline(time.Now().Add(testTimeout))
+	text, err := v.reader.ReadString('\n')
+	var line receivedLine
+	if err == nil {
+		err = json.Unmarshal([]byte(text), &line)
+	}
+	if err != nil {
+		v.t.Fatalf("line %q: %v", text, err)
+	}
+	return line
+}
+
+// closed waits for the connection's end; what is written before it is returned.
+func (v *viewerClient) expectClosed() string {
+	v.t.Helper()
+	v.conn.SetReadDeadline(time.Now().Add(testTimeout))
+	b, err := io.ReadAll(v.reader)
+	if ne, ok := err.(net.Error); ok && ne.Timeout() {
+		v.t.Fatal("the connection stays open")
+	}
+	return string(b)
+}
+
+const (
+	id1 = "00000000000000a1"
+	id2 = "00000000000000a2"
+)
+
+func (h *harness) waitFor(what string, f func(Stats) bool) {
+	h.t.Helper()
+	for late := time.Now().Add(testTimeout); !f(h.stats()); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(late) {
+			h.t.Fatalf("%s: %+v", what, h.stats())
+		}
+	}
+}
+
+// blackHole is an address at which connections don't come up, since its queue is full, until somebody takes them.
+func fullBacklogListener(t *testing.T) (string, net.Listener) {
+	t.Helper()
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := errors.Join(unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), unix.Listen(fd, 0)); err != nil {
+		t.Fatal(err)
+	}
+	f := os.NewFile(uintptr(fd), "hole")
+	ln, err := net.FileListener(f)
+	f.Close()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	for range 20 {
+		c, err := net.DialTimeout("tcp4", ln.Addr().String(), 200*time.Millisecond)
+		if err != nil {
+			return ln.Addr().String(), ln
+		}
+		t.Cleanup(func() { c.Close() })
+	}
+	t.Fatal("the queue never fills")
+	return "", nil
+}
+
+// takes hands the director a list of one media node.
+func (h *harness) setNodeList(state, addr string) {
+	h.t.Helper()
+	h.runOnLoop(func() {
+		err := h.proxy.applyNodeList(&discovery.Message{Version: h.proxy.nodeList.Version() + 1, Full: true, Entries: []discovery.Entry{{Name: "s-0", Addr: addr,
+			State: state, Weight: 1}}})
+		if err != nil {
+			h.t.Error(err)
+		}
+	})
+}
+
+// tells answers the director's questions from now on, as the platform's name service does.
+func (h *harness) serveDNS(no uint32, draining func(i int) bool) {
+	name := dnsmessage.MustNewName
+	var m dnsmessage.Message
+	add := func(part *[]dnsmessage.Resource, n string, body dnsmessage.ResourceBody) {
+		*part = append(*part, dnsmessage.Resource{Header: dnsmessage.ResourceHeader{Name: name(n), Class: dnsmessage.ClassINET}, Body: body})
+	}
+	for i, x := range h.nodes {
+		host, at := x.name+".east.hosts.", x.listener.Addr().(*net.TCPAddr)
+		srv := &dnsmessage.SRVResource{Weight: 10, Port: uint16(at.Port), Target: name(host)}
+		if draining(i) {
+			srv.Priority = 1
+		}
+		add(&m.Answers, serviceName, srv)
+		add(&m.Additionals, host, &dnsmessage.AResource{A: [4]byte(at.IP.To4())})
+		add(&m.Additionals, host, &dnsmessage.TXTResource{TXT: []string{"kind=std", fmt.Sprint("cell=", i), "started=0"}})
+	}
+	add(&m.Authorities, "svc.local.", &dnsmessage.SOAResource{NS: name("ns."), MBox: name("m."), Serial: no})
+	go func() {
+		for b := make([]byte, 512); ; {
+			n, from, err := h.dnsConn.ReadFromUDP(b)
+			if err != nil {
+				return
+			}
+			var q dnsmessage.Message
+			if q.Unpack(b[:n]) != nil {
+				continue
+			}
+			m.Header = dnsmessage.Header{ID: q.ID, Response: true}
+			if out, err := m.Pack(); err == nil {
+				h.dnsConn.WriteToUDP(out, from)
+			}
+		}
+	}()
+}
+
+// count is how many sessions the director holds.
+func (h *harness) sessionCount() (n int) {
+	h.runOnLoop(func() { n = len(h.proxy.sessions) })
+	return n
+}
+
+// plays brings a session to stand.
+func (h *harness) playSession(v *viewerClient, id string) (*standInNode, nodeMessage) {
+	h.t.Helper()
+	v.sendSetup(id, "free", "1;top:0")
+	m, s := h.expectSetup()
+	s.sendAnswer("x")
+	if e := v.receive(); e.Type != "answer" || e.ID != id {
+		h.t.Fatalf("not set up: %+v", e)
+	}
+	return m, s
+}
+
+// connections waits until the director holds so many from viewers.
+func (h *harness) expectViewerConns(want int) {
+	h.t.Helper()
+	h.waitFor("connections from viewers", func(Stats) bool {
+		ch := make(chan int, 1)
+		h.loop.Post(func() { ch <- h.proxy.connManager.Len() })
+		return <-ch == want
+	})
+}
+
+// playing names a session that plays at a media node, as viewers do after a director's start: with a time that no
+// class has.
+func (v *viewerClient) sendExistingSession(id, at string) {
+	v.send(`{"type":"setup","id":"%s","fields":{"class":"free","left":"4294967","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:1;at:%s"},"sdp":"x"}`, id, at)
+}
+
+// adopts brings a session of the start to stand at the first media node.
+func (h *harness) adoptSession(v *viewerClient, id string) *standInNode {
+	h.t.Helper()
+	before := h.stats().Opened
+	v.sendExistingSession(id, h.nodes[0].name)
+	h.waitFor("not taken", func(st Stats) bool { return st.Opened > before })
+	return h.nodes[0]
+}
+
+// any waits for a connection that the director keeps there.
+func (n *standInNode) anyConn() net.Conn {
+	n.t.Helper()
+	for late := time.Now().Add(testTimeout); time.Now().Before(late); time.Sleep(time.Millisecond) {
+		n.mu.Lock()
+		if len(n.conns) > 0 {
+			defer n.mu.Unlock()
+			return n.conns[0]
+		}
+		n.mu.Unlock()
+	}
+	n.t.Fatalf("%s: the director keeps no connection", n.name)
+	return nil
+}
+
+// on runs f on the loop's goroutine and waits for it.
+func (h *harness) runOnLoop(f func()) {
+	done := make(chan struct{})
+	h.loop.Post(func() { f(); close(done) })
+	<-done
+}
+
+func (h *harness) session(id string) (s *session) {
+	h.t.Helper()
+	no, _ := jsonline.ParseID(id)
+	h.runOnLoop(func() { s = h.proxy.sessions[no] })
+	if s == nil {
+		h.t.Fatalf("no session %s", id)
+	}
+	return s
+}
+
+// sets plays the module's word on a rung.
+func (h *harness) setRung(s *session, rung int) {
+	h.runOnLoop(func() {
+		h.proxy.applyModuleAction(&headmill.Action{Kind: headmill.ActSetRung, Session: s.moduleID, Rung: rung})
+	})
+}
+
+// note sends a note and waits until it has been read: the next word on the connection is answered after it.
+func (h *harness) sendFeedback(n *standInNode, id uint64, sort string, value float64) {
+	c := n.anyConn()
+	out, at := frame.Begin(nil, frame.Feedback, id)
+	out = frame.End(frame.AppendParameter(frame.AppendParameter(out, frame.FeedbackKind, sort), frame.FeedbackValue, fmt.Sprint(value)), at)
+	out, at = frame.Begin(out, frame.Ping, id)
+	c.Write(frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), at))
+	n.expect(frame.Pong)
+}
+
+// pending waits until so many releases have not been confirmed.
+func (h *harness) expectUnconfirmed(want int) {
+	h.t.Helper()
+	h.waitFor("releases that no viewer has confirmed", func(Stats) (ok bool) {
+		h.runOnLoop(func() { ok = h.proxy.retransmitter.Len() == want })
+		return ok
+	})
+}
--- /dev/null
+++ b/internal/platform/proxy/proxy_test.go
@@ -0,0 +1,721 @@
+package proxy
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"headmill"
+	"headmill/decide/discovery"
+	"headmill/decide/limits"
+	"headmill/internal/platform/frame"
+)
+
+func TestSessionFromSetupToItsEnd(t *testing.T) {
+	h := startHarness(t, 2, nil)
+	v := h.dialViewer()
+	v.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
+	if p := v.receive(); p.Type != "pong" || p.Cause != 1 || p.ID != "x" {
+		t.Fatalf("test: %+v", p)
+	}
+	v.sendSetup(id1, "paid", "2;top:1")
+	m, s := h.expectSetup()
+	if s.id != 0xa1 || s.class != "paid" || s.rung != "1" || s.sdp != "o\r\n\""+id1+"\"" {
+		t.Fatalf("set-up: %+v", s)
+	}
+	s.sendAnswer("v=0\r\n\"é\"")
+	if a := v.receive(); a.Type != "answer" || a.ID != id1 || a.SDP != "v=0\r\n\"é\"" {
+		t.Fatalf("answer: %+v", a)
+	}
+	s.sendRelease(causeNormal)
+	if a := v.receive(); a.Type != "release" || a.ID != id1 || a.Cause != causeNormal {
+		t.Fatalf("end: %+v", a)
+	}
+	m.expect(frame.Released)
+}
+
+// A session belongs to no connection: its end goes out on another one where its own is closed.
+func TestEndOnAnotherConnection(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	a, b := h.dialViewer(), h.dialViewer()
+	h.playSession(b, id2)
+	_, s1 := h.playSession(a, id1)
+	a.conn.Close()
+	h.expectViewerConns(1)
+	s1.sendRelease(causeReset)
+	if e := b.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeReset {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// With no connection at all the release is kept until one comes. One whose peer confirms nothing is not relied on.
+func TestEndIsKeptUntilAConnectionComes(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	a := h.dialViewer()
+	_, s1 := h.playSession(a, id1)
+	a.conn.Close()
+	h.expectViewerConns(0)
+	s1.sendRelease(causeNormal)
+	h.expectUnconfirmed(1)
+	mute := h.dialViewer()
+	if e := mute.receive(); e.Type != "release" || e.ID != id1 {
+		t.Fatalf("%+v", e)
+	}
+	b := h.dialViewer()
+	b.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
+	b.receive()
+	if e := b.receive(); e.Type != "release" || e.ID != id1 {
+		t.Fatalf("%+v", e)
+	}
+	b.send(`{"type":"released","id":"%s","fields":{}}`, id1)
+	h.expectUnconfirmed(0)
+}
+
+// A release that is written while its viewer closes the connection is read by nobody: it goes out again.
+func TestEndWrittenToAClosingConnection(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	a, b := h.dialViewer(), h.dialViewer()
+	h.playSession(b, id2)
+	h.playSession(a, id1)
+	s := h.session(id1)
+	h.runOnLoop(func() {
+		a.conn.Close()
+		for s.viewer.conn.Idle() { // the close has reached the machine, and the loop has not seen it
+			time.Sleep(time.Millisecond)
+		}
+		h.proxy.sessionEnded(s, headmill.Served, causeNormal, headmill.Report{})
+	})
+	if e := b.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeNormal {
+		t.Fatalf("%+v", e)
+	}
+	b.send(`{"type":"released","id":"%s","fields":{}}`, id1)
+	h.expectUnconfirmed(0)
+}
+
+// What the module gives up is answered at once, with a time to come back.
+func TestRefusalComesAtOnceWithAdvice(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	began := time.Now()
+	v.sendSetup(id1, "paid", "1;top:0")
+	_, s := h.expectSetup()
+	s.sendRelease(causeFull)
+	e := v.receive()
+	if e.Type != "release" || e.Cause != causeCongested || e.Fields["wait"] != "700" {
+		t.Fatalf("%+v", e)
+	}
+	if d := time.Since(began); d > 2*time.Second {
+		t.Fatalf("after %v of 3 s: it was sat on", d)
+	}
+}
+
+// Errors and breaks prove nothing: the paid class gets no promise, and no second attempt.
+func TestPaidSetupThatMayHaveRunIsNeverRepeated(t *testing.T) {
+	for name, spoil := range map[string]func(*standInNode, nodeMessage){
+		"error": func(_ *standInNode, s nodeMessage) { s.sendRelease(causeError) },
+		"reset": func(m *standInNode, _ nodeMessage) { m.resetConns() },
+		"noise": func(_ *standInNode, s nodeMessage) { s.conn.Write([]byte{0, 9, 99, 1, 2, 3}) },
+		"claim": func(_ *standInNode, s nodeMessage) { s.conn.Write([]byte{0xff, 0xff, 9}) },
+		"short": func(_ *standInNode, s nodeMessage) { s.conn.Write([]byte{0, 40, 9, 0}) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := startHarness(t, 2, nil)
+			v := h.dialViewer()
+			v.sendSetup(id1, "paid", "2;top:0")
+			m, s := h.expectSetup()
+			spoil(m, s)
+			if e := v.receive(); e.Type != "release" || e.Cause != causeError {
+				t.Fatalf("%+v", e)
+			}
+			if st := h.stats(); st.Attempts != 1 || st.Failed != 1 {
+				t.Fatalf("%+v", st)
+			}
+		})
+	}
+}
+
+// A connection that was refused proves that nothing ran: the paid set-up goes on to another media node.
+func TestRefusedConnectionIsAProof(t *testing.T) {
+	h := startHarness(t, 2, nil)
+	h.nodes[0].listener.Close()
+	for i := range 4 { // titles start at either
+		v := h.dialViewer()
+		v.sendSetup(fmt.Sprintf("%016x", 0xb0+i), "paid", "2;top:0")
+		m, s := h.expectSetup()
+		if m != h.nodes[1] {
+			t.Fatal("a set-up came to a media node that does not listen")
+		}
+		s.sendAnswer("x")
+		if e := v.receive(); e.Type != "answer" {
+			t.Fatalf("%+v", e)
+		}
+	}
+}
+
+// An answer that is not the open attempt's is passed over: an unknown id, a second copy.
+func TestMoreThanIsTheirs(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "paid", "1;top:0")
+	_, s := h.expectSetup()
+	other := s
+	other.id = 0xdead
+	other.sendAnswer("not yours")
+	s.sendAnswer("yours")
+	s.sendAnswer("yours")
+	if e := v.receive(); e.Type != "answer" || e.SDP != "yours" {
+		t.Fatalf("%+v", e)
+	}
+	s.sendRelease(causeNormal)
+	if e := v.receive(); e.Type != "release" || e.Cause != causeNormal {
+		t.Fatalf("a second answer: %+v", e)
+	}
+}
+
+// A viewer that stops waiting: the media node is told, and the director forgets.
+func TestWithdrawnSetupIsGivenUp(t *testing.T) {
+	for name, leave := range map[string]func(*viewerClient){
+		"release": func(c *viewerClient) { c.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1) },
+		"close":   func(c *viewerClient) { c.conn.Close() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := startHarness(t, 1, nil)
+			v := h.dialViewer()
+			v.sendSetup(id1, "paid", "1;top:0")
+			m, s := h.expectSetup()
+			leave(v)
+			if e := m.expect(frame.Release); e.id != 0xa1 || e.cause != causeNormal {
+				t.Fatalf("%+v", e)
+			}
+			s.sendAnswer("too late")
+			h.waitFor("a session stands that nobody waits for", func(st Stats) bool { return st.ViewersLeft == 1 && st.Played == 0 })
+		})
+	}
+}
+
+// A viewer ends a session that stands: the media node is told, its last word is not passed back.
+func TestViewerEndsItsSession(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m, s := h.playSession(v, id1)
+	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
+	if e := v.receive(); e.Type != "released" {
+		t.Fatalf("%+v", e)
+	}
+	m.expect(frame.Release)
+	s.sendRelease(causeCancelled)
+	v.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
+	if e := v.receive(); e.Type != "pong" {
+		t.Fatalf("the viewer ended it and is told again: %+v", e)
+	}
+}
+
+// The start's sessions name a time that no class has; they are taken, and end as others do.
+func TestSessionsOfTheStart(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m := h.adoptSession(v, id1)
+	m.anyConn().Write(frame.AppendRelease(nil, 0xa1, causeNormal))
+	if e := v.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeNormal {
+		t.Fatalf("%+v", e)
+	}
+	v.sendExistingSession(id2, "s-77")
+	if e := v.receive(); e.Type != "release" || e.ID != id2 || e.Cause != causeReset {
+		t.Fatalf("a session at no listed media node: %+v", e)
+	}
+}
+
+// A process that died cuts its sessions: viewers are told, so that they come again.
+func TestSessionsOfADeadMediaNode(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m, _ := h.playSession(v, id1)
+	m.listener.Close()
+	m.resetConns()
+	if e := v.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeReset {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// A connection that breaks says nothing of the sessions that stand.
+func TestSessionsOutliveAConnection(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m, _ := h.playSession(v, id1)
+	m.resetConns()
+	v.sendSetup(id2, "free", "1;top:0")
+	_, s2 := h.expectSetup()
+	s2.id = 0xa1
+	s2.sendRelease(causeNormal) // its end comes on the next connection
+	if e := v.receive(); e.ID != id1 || e.Cause != causeNormal {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// An id in use: a newcomer on another connection is turned away and harms nobody.
+func TestIDInUse(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v, rude := h.dialViewer(), h.dialViewer()
+	v.sendSetup(id1, "paid", "1;top:0")
+	_, s := h.expectSetup()
+	rude.sendSetup(id1, "paid", "1;top:1")
+	if e := rude.receive(); e.Type != "release" || e.Cause != causeInvalidField {
+		t.Fatalf("%+v", e)
+	}
+	s.sendAnswer("x")
+	if e := v.receive(); e.Type != "answer" {
+		t.Fatalf("%+v", e)
+	}
+	rude.sendSetup(id1, "paid", "1;top:1")
+	if e := rude.receive(); e.Type != "release" {
+		t.Fatalf("%+v", e)
+	}
+	s.sendRelease(causeNormal)
+	if e := v.receive(); e.Type != "release" || e.Cause != causeNormal {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// Two requests under one number on one connection: neither goes on, one answer.
+func TestTwoUnderOneID(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "paid", "1;top:0")
+	m, s := h.expectSetup()
+	v.sendSetup(id1, "paid", "1;top:1")
+	if e := v.receive(); e.Type != "release" || e.Cause != causeInvalidField {
+		t.Fatalf("%+v", e)
+	}
+	m.expect(frame.Release)
+	s.sendAnswer("x")
+	v.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
+	if e := v.receive(); e.Type != "pong" {
+		t.Fatalf("a second answer: %+v", e)
+	}
+}
+
+// Figures that no settings know are turned down, and the connection goes on.
+func TestSetupsThatCantBeUsed(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	good := `{"type":"setup","id":"` + id1 + `","fields":{"class":"paid","left":"3000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:1"},"sdp":"x"}`
+	for _, change := range [][2]string{{`"paid"`, `"gold"`}, {`"acme"`, `"none"`}, {`"3000"`, `"nan"`}, {`"3000"`, `-5`}, {`"3000"`, `1e12`},
+		{`"3000"`, `"+Inf"`}, {`home:0`, `home:99`}, {`copies:1`, `copies:0`}, {`top:1`, `top:1.5`}, {`top:1`, `tip:1`},
+		{`7f3a9c21e0b4d655`, `zz`}, {`"sdp":"x"`, `"sdp":""`}, {`,"sdp":"x"`, ``}, {`"left":"3000",`, ``}} {
+		line := strings.Replace(good, change[0], change[1], 1)
+		if line == good {
+			t.Fatalf("%v changes nothing", change)
+		}
+		v.send("%s", line)
+		if e := v.receive(); e.Type != "release" || e.Cause == causeFull || e.Cause == causeCongested || e.Cause == causeNeverRan {
+			t.Errorf("%v: %+v", change, e)
+		}
+	}
+	if st := h.stats(); st.Requests != 0 || st.Attempts != 0 {
+		t.Fatalf("a bad set-up reached the module: %+v", st)
+	}
+}
+
+// What can't be read, is too long, never ends or never begins closes its connection.
+func TestRudeConnectionsAreClosed(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	for name, b := range map[string]string{"noise": "\x16\x03\x01\x02\n", "too long": strings.Repeat("x", 40000),
+		"id": `{"type":"setup","id":"-1","fields":{}}` + "\n", "silent": "", "no end": `{"type":"setup"`} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			v := h.dialViewer()
+			fmt.Fprint(v.conn, b)
+			v.expectClosed()
+		})
+	}
+}
+
+// At the bound silent connections make room for those that ask.
+func TestSilentConnectionsMakeRoom(t *testing.T) {
+	h := startHarness(t, 1, func(c *Config) { c.Sockets = 64 })
+	var silent []net.Conn
+	for range 40 {
+		c, err := net.Dial("tcp4", h.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		silent = append(silent, c)
+	}
+	v := h.dialViewer()
+	v.sendSetup(id1, "free", "1;top:0")
+	_, s := h.expectSetup()
+	s.sendAnswer("x")
+	if e := v.receive(); e.Type != "answer" {
+		t.Fatalf("%+v", e)
+	}
+	silent[0].SetReadDeadline(time.Now().Add(testTimeout))
+	_, err := silent[0].Read(make([]byte, 1))
+	if ne, ok := err.(net.Error); err == nil || ok && ne.Timeout() {
+		t.Fatalf("the first silent connection is still there: %v", err)
+	}
+}
+
+// A module that waits for an attempt that is never made would hold its place for good.
+func TestLeavingInTheRoundOfAsking(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	for i := range 50 { // more than the 20 places
+		v := h.dialViewer()
+		id := fmt.Sprintf("%016x", 0xc00+i)
+		fmt.Fprintf(v.conn, `{"type":"setup","id":"%s","fields":{"class":"free","left":"3000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:0"},"sdp":"x"}`+"\n"+
+			`{"type":"release","id":"%s","fields":{},"cause":16}`+"\n", id, id)
+		if e := v.receive(); e.Type != "released" {
+			t.Fatalf("%+v", e)
+		}
+	}
+	v := h.dialViewer()
+	v.sendSetup(id1, "free", "1;top:0")
+	for {
+		_, s := h.expectSetup()
+		if s.id == 0xa1 {
+			s.sendAnswer("x")
+			break
+		}
+	}
+	if e := v.receive(); e.Type != "answer" {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// The name service moves: the new address is asked, and what it tells counts.
+func TestReload(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	other, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	fresh := *h.cfg
+	fresh.DNS = other.LocalAddr().String()
+	h.proxy.Reload(&fresh)
+	b := make([]byte, 512)
+	other.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, _, err := other.ReadFromUDP(b); err != nil {
+		t.Fatalf("the new address is not asked: %v", err)
+	}
+	bad := *h.cfg
+	bad.DNS = "nowhere"
+	h.proxy.Reload(&bad)
+	other.SetReadDeadline(time.Now().Add(testTimeout))
+	for range 3 {
+		if _, _, err := other.ReadFromUDP(b); err != nil {
+			t.Fatalf("an address that can't be used ends the asking: %v", err)
+		}
+	}
+}
+
+// A media node is its id: when its address changes, nothing more goes to where it was.
+func TestChangedAddress(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	old, _ := h.playSession(v, id1)
+	moved := startStandInNode(t, "s-0")
+	h.setNodeList("ready", moved.listener.Addr().String())
+	h.nodes = append(h.nodes, moved)
+	v.sendSetup(id2, "free", "1;top:0")
+	m, s := h.expectSetup()
+	if m == old {
+		t.Fatal("a set-up went to the old address")
+	}
+	s.sendAnswer("x")
+	if e := v.receive(); e.ID != id2 || e.Type != "answer" {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// A session of the start plays at a rung that only its media node tells. What the module sets after that must be sent,
+// be it the lowest; what is in force already must not.
+func TestRungOfASessionOfTheStart(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m := h.adoptSession(v, id1)
+	s := h.session(id1)
+	h.sendFeedback(m, s.id, "level", 1)
+	h.setRung(s, 0)
+	if got := m.expect(frame.Rate); got.id != s.id || got.rung != "0" {
+		t.Fatalf("%+v", got)
+	}
+	h.setRung(s, 0)
+	h.setRung(s, 1)
+	if got := m.expect(frame.Rate); got.rung != "1" {
+		t.Fatalf("an unchanged rung was sent: %+v", got)
+	}
+}
+
+// A stop: what was taken is answered, the door closes, the process may end when the last session has.
+func TestStop(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendExistingSession(id2, "s-77") // turned away: it must not be counted as one that waits
+	v.send(`{"type":"released","id":"%s","fields":{}}`, v.receive().ID)
+	_, s := h.playSession(v, id1)
+	h.proxy.Stop()
+	v.sendSetup(id2, "paid", "1;top:0")
+	_, s2 := h.expectSetup()
+	s2.sendAnswer("x")
+	if e := v.receive(); e.Type != "answer" {
+		t.Fatalf("taken while requests still come: %+v", e)
+	}
+	for late := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+		c, err := net.Dial("tcp4", h.addr)
+		if err != nil {
+			break
+		}
+		c.Close()
+		if time.Now().After(late) {
+			t.Fatal("the door stays open")
+		}
+	}
+	select {
+	case <-h.done:
+		t.Fatal("ended while sessions stand")
+	default:
+	}
+	s.sendRelease(causeNormal)
+	s2.sendRelease(causeNormal)
+	for range 2 {
+		v.send(`{"type":"released","id":"%s","fields":{}}`, v.receive().ID)
+	}
+	select {
+	case <-h.done:
+	case <-time.After(testTimeout):
+		t.Fatal("does not end after its last session")
+	}
+}
+
+// A set-up that is out while its media node's address changes keeps its connection, and nobody else gets it.
+func TestChangedAddressWithASetUpOut(t *testing.T) {
+	h := startHarness(t, 1, func(c *Config) { c.Module.ReportIntervalMs = 1e6 }) // not to be closed for its silence
+	v := h.dialViewer()
+	v.sendSetup(id1, "free", "1;top:0")
+	_, s := h.expectSetup()
+	moved := startStandInNode(t, "s-0")
+	h.setNodeList("ready", moved.listener.Addr().String())
+	s.sendAnswer("x")
+	if e := v.receive(); e.Type != "answer" {
+		t.Fatalf("%+v", e)
+	}
+	h.waitFor("connections to the old address stay open", func(Stats) bool {
+		old := 0
+		h.runOnLoop(func() {
+			for _, nc := range h.proxy.nodes[discovery.NodeIDFromName("s-0")].conns {
+				if nc.addr != moved.listener.Addr().String() {
+					old++
+				}
+			}
+		})
+		return old == 0
+	})
+	h.nodes = append(h.nodes, moved)
+	v.sendSetup(id2, "free", "1;top:0")
+	if m, _ := h.expectSetup(); m != moved {
+		t.Fatal("a set-up went to the old address")
+	}
+}
+
+// A drain that is told while a set-up waits for its connection: it is not written any more.
+func TestDrainWhileConnecting(t *testing.T) {
+	hole, ln := fullBacklogListener(t)
+	h := startHarness(t, 1, func(c *Config) { c.ConnectMs = 20000; c.Snapshot.Items[0].Roster.Hosts[0].Dial = hole })
+	v := h.dialViewer()
+	v.send(`{"type":"setup","id":"%s","fields":{"class":"paid","left":"6000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:0"},"sdp":"x"}`, id1)
+	h.waitFor("no attempt", func(st Stats) bool { return st.Attempts == 1 })
+	h.setNodeList("draining", hole)
+	go func() { // now connections come up
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				if n, _ := c.Read(make([]byte, 100)); n > 0 {
+					t.Errorf("%d bytes were written after the drain was told", n)
+				}
+			}()
+		}
+	}()
+	if e := v.receive(); e.Type != "release" || e.Cause != causeCongested {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// A spoilt answer means that the session stands there and nobody knows: it is ended there, on another connection.
+func TestSpoiltAnswersSessionIsEnded(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "paid", "1;top:0")
+	m, s := h.expectSetup()
+	s.conn.Write([]byte{0xff, 0xff, 9})
+	go func() { // and it keeps coming
+		for b := make([]byte, 1<<16); ; {
+			if _, err := s.conn.Write(b); err != nil {
+				return
+			}
+		}
+	}()
+	for {
+		if e := m.expect(frame.Release); e.id == 0xa1 && e.conn != s.conn {
+			break
+		}
+	}
+	if e := v.receive(); e.Type != "release" || e.Cause != causeError {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// A description that no line to a viewer can hold: the viewer is not answered with what it can't read, and the session is
+// ended at its media node.
+func TestAnswerTooLongForALine(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "paid", "1;top:0")
+	m, s := h.expectSetup()
+	s.sendAnswer(strings.Repeat("\x01", 4000)) // six bytes each in JSON
+	if e := m.expect(frame.Release); e.id != 0xa1 {
+		t.Fatalf("%+v", e)
+	}
+	if e := v.receive(); e.Type != "release" || e.Cause != causeError {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// What is to be told to a media node that can't be reached just now is told when it can.
+func TestEndIsToldWhenTheMediaNodeIsBack(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m, _ := h.playSession(v, id1)
+	hole, ln := fullBacklogListener(t)
+	h.runOnLoop(func() { h.proxy.nodes[discovery.NodeIDFromName(m.name)].addr = hole })
+	m.resetConns()
+	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
+	v.receive()
+	h.waitFor("not ended", func(Stats) bool { return h.sessionCount() == 0 }) // the first connect has failed by then, or will
+	go m.serve(ln)
+	if e := m.expect(frame.Release); e.id != 0xa1 {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// A media node tells an end on its connection and again on the next one: it counts once.
+func TestEndToldTwice(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m, s := h.playSession(v, id1)
+	s.sendRelease(causeReset)
+	s.sendRelease(causeReset)
+	m.expect(frame.Released)
+	m.expect(frame.Released)
+	if e := v.receive(); e.Type != "release" || e.Cause != causeReset {
+		t.Fatalf("%+v", e)
+	}
+	v.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
+	if e := v.receive(); e.Type != "pong" {
+		t.Fatalf("told twice: %+v", e)
+	}
+}
+
+// A drain that the name service tells keeps set-ups away, through DNS on a socket.
+func TestDrainToldByTheNameService(t *testing.T) {
+	h := startHarness(t, 2, nil)
+	v := h.dialViewer()
+	h.serveDNS(7, func(i int) bool { return i == 0 })
+	h.waitFor("the list is not taken", func(Stats) bool {
+		var no uint64
+		h.runOnLoop(func() { no = h.proxy.nodeList.Version() })
+		return no == 7
+	})
+	for i := range 6 {
+		v.sendSetup(fmt.Sprintf("%016x", 0xd0+i), "free", "2;top:0")
+		m, s := h.expectSetup()
+		if m == h.nodes[0] {
+			t.Fatal("a set-up came to a draining media node")
+		}
+		s.sendAnswer("x")
+		v.receive()
+	}
+}
+
+// Descriptions that wait are held within a part of the memory; one more is refused at once, with a time to come back.
+func TestFloodIsHeldWithinBounds(t *testing.T) {
+	h := startHarness(t, 1, func(c *Config) { c.MemoryMB = 1 })
+	v := h.dialViewer()
+	big, n := strings.Repeat("x", 15000), 40
+	go func() {
+		for i := range n {
+			v.send(`{"type":"setup","id":"%016x","fields":{"class":"free","left":"3000","tenant":"acme","key":"%016x","extras":"home:0;copies:1;top:0"},"sdp":"%s"}`, 0xe00+i, i, big)
+		}
+	}()
+	refused := 0
+	for range n {
+		if e := v.receive(); e.Type == "release" && e.Cause == causeCongested && e.Fields["wait"] != "" {
+			refused++
+		}
+	}
+	if st := h.stats(); refused < n/2 || st.Requests+st.Denied != n || st.Denied == 0 {
+		t.Fatalf("%d refused, %+v", refused, st)
+	}
+	h.waitFor("what was held is not given back", func(Stats) bool {
+		var held int64
+		h.runOnLoop(func() { held = h.proxy.quotas.Usage(limits.Waiting).Used + h.proxy.quotas.Usage(limits.Sessions).Used })
+		return held == 0
+	})
+}
+
+// What has ended leaves nothing behind: ids, connections and media nodes are new all the time on a long day.
+func TestNothingGrows(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	m := h.nodes[0]
+	for round := range 8 {
+		name := fmt.Sprintf("s-new-%d", round)
+		h.runOnLoop(func() {
+			if err := h.proxy.applyNodeList(&discovery.Message{Version: uint64(10 + round), Full: true, Entries: []discovery.Entry{
+				{Name: name, Addr: m.listener.Addr().String(), State: "ready", Weight: 1}}}); err != nil {
+				t.Error(err)
+			}
+		})
+		for i := range 10 {
+			v, id := h.dialViewer(), fmt.Sprintf("%016x", 0x1000+100*round+i)
+			v.sendSetup(id, "free", "1;top:0")
+			_, s := h.expectSetup()
+			if i%5 == 0 { // nobody waits any more
+				v.conn.Close()
+				continue
+			}
+			s.sendAnswer("x")
+			v.receive()
+			s.sendRelease(causeNormal)
+			v.receive()
+			v.send(`{"type":"released","id":"%s","fields":{}}`, id)
+			v.conn.Close()
+		}
+	}
+	sizes := func() (out string) {
+		h.runOnLoop(func() {
+			n := h.proxy
+			out = fmt.Sprint(len(n.sessions), len(n.sessionsByModuleID), len(n.viewers), n.connManager.Len(), n.pendingSetups, n.retransmitter.Len(),
+				n.quotas.Usage(limits.Waiting).Used, n.quotas.Usage(limits.Sessions).Used, len(n.nodes)-1)
+			for _, n := range n.nodes {
+				out += fmt.Sprint(" ", len(n.sessions), len(n.queue))
+				for _, nc := range n.conns {
+					out += fmt.Sprint(" ", len(nc.attempts))
+				}
+			}
+			if n.nodeConnCount > maxConnsPerNode {
+				out += fmt.Sprint(" links ", n.nodeConnCount)
+			}
+		})
+		return out
+	}
+	for late := time.Now().Add(testTimeout); strings.Trim(sizes(), "0 ") != ""; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(late) {
+			t.Fatalf("left behind: %s", sizes())
+		}
+	}
+}
--- /dev/null
+++ b/internal/platform/proxy/race_test.go
@@ -0,0 +1,416 @@
+package proxy
+
+import (
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"headmill/decide/connmgr"
+	"headmill/decide/discovery"
+	"headmill/decide/shutdown"
+	"headmill/internal/loop"
+	"headmill/internal/platform/frame"
+)
+
+// Tests of two events that cross (docs/design/platform.md, "Where two events cross"). The loop is held while both happen,
+// so that the bad order comes each time.
+
+// unseen waits until a connection's end has reached the machine; the loop, which runs this, has not seen it.
+func waitForPeerClose(t *testing.T, c *loop.Conn) {
+	for late := time.Now().Add(testTimeout); !c.WriteClosed(); time.Sleep(time.Millisecond) {
+		if time.Now().After(late) {
+			t.Error("the end does not come")
+			return
+		}
+	}
+}
+
+func TestSetUpAndCloseInOneRead(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	for range 5 { // also where the connection to the media node stands already
+		v := h.dialViewer()
+		h.expectViewerConns(1)
+		h.runOnLoop(func() {
+			v.sendSetup(id1, "free", "1;top:0")
+			v.conn.Close()
+			for _, x := range h.proxy.viewers {
+				for late := time.Now().Add(testTimeout); unreadData(x.conn) == 0 && time.Now().Before(late); time.Sleep(time.Millisecond) {
+				}
+			}
+			time.Sleep(5 * time.Millisecond) // the end follows its bytes on loopback; an earlier read only makes this easier
+		})
+		h.expectViewerConns(0)
+	}
+	if st := h.stats(); st.Attempts != 0 || st.Requests != 5 || st.ViewersLeft != 5 {
+		t.Fatalf("attempts for clients that have gone: %+v", st)
+	}
+}
+
+// unread tells whether bytes wait to be read: 1, else 0.
+func unreadData(c *loop.Conn) int {
+	if c.Idle() {
+		return 0
+	}
+	return 1
+}
+
+// While an attempt waits for its connection the viewer goes, and the loop reads both at once.
+func TestCloseWhileConnecting(t *testing.T) {
+	addr, hole := fullBacklogListener(t)
+	h := startHarness(t, 1, func(c *Config) { c.ConnectMs = 60000 })
+	h.setNodeList("ready", addr)
+	v := h.dialViewer()
+	v.sendSetup(id1, "free", "1;top:0")
+	h.waitFor("no attempt", func(s Stats) bool { return s.Attempts == 1 })
+	s := h.session(id1)
+	m := &standInNode{t: t, listener: hole, name: "hole", received: make(chan nodeMessage, 100)}
+	h.runOnLoop(func() {
+		v.conn.Close()
+		waitForPeerClose(t, s.viewer.conn)
+		go m.serve(hole)
+		for late := time.Now().Add(testTimeout); !s.attempt.conn.conn.Established(); time.Sleep(time.Millisecond) {
+			if time.Now().After(late) {
+				t.Error("the connection does not come up")
+				return
+			}
+		}
+	})
+	h.waitFor("the viewer's end is not seen", func(s Stats) bool { return s.ViewersLeft == 1 })
+	w := h.dialViewer()
+	w.sendSetup(id2, "free", "1;top:0") // on the connection that is up: the media node has got nothing before it
+	if got := m.expect(frame.Setup); got.id != 0xa2 {
+		t.Fatalf("an attempt began after its viewer had gone: %+v", got)
+	}
+}
+
+// A media node's answer and the viewer's close are read in one round: nobody knows that the session stands.
+func TestAnswerAndClose(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "paid", "1;top:0")
+	m, s := h.expectSetup()
+	open := h.session(id1)
+	h.runOnLoop(func() {
+		v.conn.Close()
+		waitForPeerClose(t, open.viewer.conn)
+		s.sendAnswer("x")
+		for late := time.Now().Add(testTimeout); unreadData(open.attempt.conn.conn) == 0 && time.Now().Before(late); time.Sleep(time.Millisecond) {
+		}
+	})
+	if e := m.expect(frame.Release); e.id != 0xa1 || e.cause != causeNormal {
+		t.Fatalf("%+v", e)
+	}
+	if st := h.stats(); st.Played != 0 || st.ViewersLeft != 1 {
+		t.Fatalf("%+v", st)
+	}
+}
+
+// An answer that waits to be written when its connection ends was read by nobody.
+func TestAnswerThatNeverLeft(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m, _ := h.playSession(v, id1)
+	s := h.session(id1)
+	h.runOnLoop(func() { s.answerEnd = s.viewer.conn.Written() + 1; s.viewer.conn.Close(loop.ErrSlowReader) })
+	if e := m.expect(frame.Release); e.id != 0xa1 {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// The media node's answer is lost with its connection: what stands there is ended.
+func TestAnswerLostWithItsConnection(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "paid", "1;top:0")
+	m, _ := h.expectSetup()
+	m.resetConns()
+	if e := m.expect(frame.Release); e.id != 0xa1 || e.cause != causeNormal {
+		t.Fatalf("%+v", e)
+	}
+	if e := v.receive(); e.Cause != causeError {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// A connection that the machine has taken when the door closes is served.
+func TestDoorClosesOnATakenConnection(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	var v *viewerClient
+	h.runOnLoop(func() {
+		v = h.dialViewer()
+		v.sendSetup(id1, "free", "1;top:0")
+		h.proxy.applyShutdownAction(shutdown.CloseListeners)
+	})
+	_, s := h.expectSetup()
+	s.sendAnswer("x")
+	if e := v.receive(); e.Type != "answer" {
+		t.Fatalf("%+v", e)
+	}
+	if c, err := net.Dial("tcp4", h.addr); err == nil {
+		c.Close()
+		t.Fatal("the door is open still")
+	}
+}
+
+// What still waits when a stop can wait no longer is answered, and its attempt given up.
+func TestStopFailsWhatWaits(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "free", "1;top:0")
+	m, _ := h.expectSetup()
+	h.runOnLoop(func() { h.proxy.applyShutdownAction(shutdown.FailPending) })
+	if e := v.receive(); e.Type != "release" || e.Cause != causeError {
+		t.Fatalf("%+v", e)
+	}
+	if e := m.expect(frame.Release); e.id != 0xa1 || h.sessionCount() != 0 {
+		t.Fatalf("%+v, %d sessions", e, h.sessionCount())
+	}
+}
+
+// A stop waits for what is written and not taken by its peer, and for releases that nobody has confirmed.
+func TestUnsent(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	_, s := h.playSession(v, id1)
+	h.runOnLoop(func() {
+		c := h.proxy.sessions[s.id].viewer.conn
+		c.SetLimit(0)
+		for big := make([]byte, 1<<20); c.Pending() == 0; {
+			c.Write(big)
+		}
+		if got := h.proxy.unsentMessages(); got != 1 {
+			t.Errorf("%d unsent, want the viewer's", got)
+		}
+	})
+	s.sendRelease(causeNormal)
+	h.expectUnconfirmed(1)
+	h.runOnLoop(func() {
+		if got := h.proxy.unsentMessages(); got != 2 {
+			t.Errorf("%d unsent, want the release too", got)
+		}
+	})
+}
+
+// A client that leaves while its attempt waits for a connection says nothing of the media node.
+func TestLeavingBlamesNobody(t *testing.T) {
+	addr, _ := fullBacklogListener(t)
+	h := startHarness(t, 1, func(c *Config) { c.ConnectMs = 60000 })
+	h.setNodeList("ready", addr)
+	for i := range 3 {
+		v := h.dialViewer()
+		v.sendSetup(id1, "free", "1;top:0")
+		h.waitFor("the media node is rested", func(s Stats) bool { return s.Attempts == i+1 })
+		v.conn.Close()
+		h.expectViewerConns(0)
+	}
+}
+
+// Idle clients hold every descriptor when the name service moves: its socket is pointed elsewhere.
+func TestReloadWithoutADescriptor(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	other, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	h.runOnLoop(func() {
+		var was unix.Rlimit
+		if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+			t.Error(err)
+		}
+		free, _ := unix.Dup(0)
+		unix.Close(free)
+		unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(free), Max: was.Max})
+		defer unix.Setrlimit(unix.RLIMIT_NOFILE, &was)
+		if _, err := h.loop.DialPacket(other.LocalAddr().String(), func([]byte) {}); err == nil {
+			t.Error("a descriptor was left: this shows nothing")
+		}
+		if err := h.proxy.discovery.connect(other.LocalAddr().String()); err != nil {
+			t.Error(err)
+		}
+	})
+	other.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, _, err := other.ReadFromUDP(make([]byte, 512)); err != nil {
+		t.Fatalf("the new address is not asked: %v", err)
+	}
+}
+
+// A new media node has the address of one that has gone: that it answers there proves nothing for the old one's sessions.
+func TestAddressPassesToAnother(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m := h.adoptSession(v, id1)
+	m.anyConn()
+	h.runOnLoop(func() {
+		if err := h.proxy.applyNodeList(&discovery.Message{Version: 9, Full: true, Entries: []discovery.Entry{{Name: "s-new",
+			Addr: m.listener.Addr().String(), State: "ready", Weight: 1}}}); err != nil {
+			t.Error(err)
+		}
+	})
+	m.resetConns()
+	if e := v.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeReset {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// What ends a session is written into a connection that the media node is just resetting: it comes again on another.
+func TestReleaseLostWithItsConnection(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m, _ := h.playSession(v, id1)
+	s := h.session(id1)
+	h.runOnLoop(func() {
+		nc := s.node.conns[0]
+		m.resetConns()
+		waitForPeerClose(t, nc.conn)
+		h.proxy.endedByViewer(s)
+	})
+	if e := m.expect(frame.Release); e.id != 0xa1 || e.cause != causeNormal {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// later waits until the loop's clock has moved on, and returns it.
+func (h *harness) waitForClock() (now float64) {
+	h.runOnLoop(func() { now = h.loop.Now() })
+	for was := now; now < was+5; h.runOnLoop(func() { now = h.loop.Now() }) {
+		time.Sleep(time.Millisecond)
+	}
+	return now
+}
+
+// Lines that come in pieces which always end in the middle of the next one: each has its own time.
+func TestPiecesAcrossLines(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	_, s := h.playSession(v, id1) // the connection has asked
+	s.sendRelease(causeNormal)
+	v.receive()
+	line := `{"type":"ping","id":"x","fields":{},"cause":0}` + "\n"
+	fmt.Fprint(v.conn, line+line[:5])
+	v.receive()
+	first := h.waitForClock()
+	fmt.Fprint(v.conn, line[5:]+line[:5])
+	if e := v.receive(); e.Type != "pong" {
+		t.Fatalf("%+v", e)
+	}
+	h.runOnLoop(func() {
+		if out := h.proxy.connManager.Step(first+readTimeoutMs, connmgr.Event{Kind: connmgr.Tick}, nil); len(out) > 0 {
+			t.Errorf("a line that is not yet late closes its connection: %v", out)
+		}
+	})
+}
+
+// The same of a media node's messages.
+func TestPiecesAcrossMessages(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m, s := h.playSession(v, id1)
+	out, at := frame.Begin(nil, frame.Ping, 1)
+	out = frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), at)
+	cut := append(out[3:len(out):len(out)], out[:3]...)
+	s.conn.Write(append(out[:len(out):len(out)], out[:3]...))
+	m.expect(frame.Pong)
+	first := h.waitForClock()
+	s.conn.Write(cut)
+	m.expect(frame.Pong)
+	h.runOnLoop(func() {
+		if nc := h.proxy.sessions[s.id].node.conns[0]; !nc.reader.Partial() || nc.partialSince < first {
+			t.Errorf("the rest of a message is awaited since %v, it began after %v", nc.partialSince, first)
+		}
+	})
+}
+
+// A connection that its media node may be closing for idleness gets no set-up.
+func TestIdleConnectionIsNotTrusted(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m, s := h.playSession(v, id1)
+	h.runOnLoop(func() {
+		h.proxy.sessions[s.id].node.conns[0].lastUsed -= h.proxy.cfg.KeepAliveMs - h.proxy.cfg.ConnectMs + 1
+	})
+	v.sendSetup(id2, "free", "1;top:0")
+	if got := m.expect(frame.Setup); got.id != 0xa2 || got.conn == s.conn {
+		t.Fatalf("%+v: a set-up crosses the close of its connection", got)
+	}
+}
+
+// A session of the start that is over since its media node has gone: the word crosses the close of its connection.
+func TestStartsSessionOverOnAClosingConnection(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	a, b := h.dialViewer(), h.dialViewer()
+	h.playSession(b, id2)
+	h.expectViewerConns(2)
+	h.runOnLoop(func() {
+		a.sendExistingSession(id1, "s-77")
+		a.conn.Close()
+		for _, v := range h.proxy.viewers {
+			for late := time.Now().Add(testTimeout); len(v.playing) == 0 && unreadData(v.conn) == 0 && time.Now().Before(late); time.Sleep(time.Millisecond) {
+			}
+		}
+	})
+	if e := b.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeReset {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// A connection that this side closes for idleness has delivered what was written there: nothing is told twice, and no
+// connection opened for it.
+func TestIdleCloseTellsNothingAgain(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	m, _ := h.playSession(v, id1)
+	at := h.session(id1).node
+	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
+	m.expect(frame.Release)
+	h.runOnLoop(at.closeUnusedConns)
+	h.runOnLoop(func() {}) // its end is told after the round
+	h.runOnLoop(func() {
+		if len(at.conns)+len(at.queue) != 0 {
+			t.Errorf("%d connections, %d messages kept", len(at.conns), len(at.queue))
+		}
+	})
+}
+
+// A session's end is lost with the connection that it was written on, while another stands: the media node tells it again
+// on the next one opened, so one has to be.
+func TestEndLostWithOneOfTwoConnections(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "free", "1;top:0")
+	_, a := h.expectSetup()
+	v.sendSetup(id2, "free", "1;top:0")
+	m, b := h.expectSetup()
+	if a.conn == b.conn {
+		t.Fatal("two set-ups on one connection: this shows nothing")
+	}
+	a.sendAnswer("x")
+	v.receive()
+	b.sendAnswer("x")
+	v.receive()
+	a.conn.(*net.TCPConn).SetLinger(0)
+	a.conn.Close()
+	fresh := func() (c net.Conn) {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		if last := m.conns[len(m.conns)-1]; last != a.conn && last != b.conn {
+			c = last
+		}
+		return c
+	}
+	out, at := frame.Begin(nil, frame.Ping, 1)
+	out = frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), at)
+	for late := time.Now().Add(testTimeout); fresh() == nil; time.Sleep(5 * time.Millisecond) {
+		b.conn.Write(out) // the other connection is heard all the time: its silence opens none
+		if time.Now().After(late) {
+			t.Fatal("no other connection is opened")
+		}
+	}
+	fresh().Write(frame.AppendRelease(nil, a.id, causeNormal))
+	if e := v.receive(); e.Type != "release" || e.ID != id1 {
+		t.Fatalf("%+v", e)
+	}
+}
