--- a/internal/platform/dns/dns_test.go
+++ b/internal/platform/dns/dns_test.go
@@ -58,7 +58,7 @@
 }
 
 // Half a list would look like media nodes that are gone, so such an answer counts as none.
-func TestAnswersThatCantBeUsed(t *testing.T) {
+func TestUnusableAnswers(t *testing.T) {
 	for name, change := range map[string]func(*dnsmessage.Message){
 		"failure":      func(m *dnsmessage.Message) { m.RCode = dnsmessage.RCodeServerFailure },
 		"cut short":    func(m *dnsmessage.Message) { m.Truncated = true },
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestKnownIsJoined(t *testing.T) {
+func TestSnapshotEventsAreMerged(t *testing.T) {
 	k, err := ParseSnapshot([]byte(`{"no":4,"items":[
 		{"no":1,"roster":{"whole":true,"hosts":[{"host":"a","dial":"10.0.0.1:1","site":"east","class":"std","block":0,"health":"in_service","share":1,"born_ms":0},
 			{"host":"b","dial":"10.0.0.2:1","site":"west","class":"big","block":1,"health":"in_service","share":1,"born_ms":0}]}},
--- a/internal/platform/frame/frame_test.go
+++ b/internal/platform/frame/frame_test.go
@@ -32,7 +32,7 @@
 }
 
 // What can't be read must be told at once, not waited for.
-func TestNoiseIsAnError(t *testing.T) {
+func TestMalformedMessages(t *testing.T) {
 	good := answer(7, "v=0\r\n")
 	change := func(at int, b ...byte) []byte {
 		c := bytes.Clone(good)
--- a/internal/platform/jsonline/jsonline_test.go
+++ b/internal/platform/jsonline/jsonline_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestLinesThatCantBeRead(t *testing.T) {
+func TestMalformedLines(t *testing.T) {
 	for _, line := range []string{"", "hello", "[]", "{", `{"type":"setup"`, `{"type":"setup"} x`, `{"id":"1"}`, `{"type":1}`,
 		`{"type":"a","type":"a"}`, `{"type":"a","cause":1e9}`, `{"type":"a","cause":-1}`, `{"type":"a","cause":"16"}`,
 		`{"type":"a","fields":{"x":{}}}`, `{"type":"a","fields":{"x":"1","x":"2"}}`, `{"type":"a","fields":{"x":NaN}}`,
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestReleaseCarriesAdvice(t *testing.T) {
+func TestReleaseCarriesRetryAdvice(t *testing.T) {
 	var m Message
 	if err := Parse(AppendRelease(nil, 1, 42, 999.6), &m); err != nil {
 		t.Fatal(err)
--- a/internal/platform/proxy/config_test.go
+++ b/internal/platform/proxy/config_test.go
@@ -57,7 +57,7 @@
 
 // Two directors of unlike settings in one process: classes, tenants, times to come back, waits and attempts of one never
 // reach the other.
-func TestTwoCustomersSideBySide(t *testing.T) {
+func TestTwoDirectorsWithDifferentSettings(t *testing.T) {
 	a := startHarness(t, 2, nil)
 	b := startHarness(t, 2, func(c *Config) {
 		c.ClassIndex, c.TenantIndex = map[string]int{"gold": 0, "paid": 1}, map[string]int{"zeta": 0} // "paid" may be repeated here
@@ -69,11 +69,11 @@
 		v := r.dialViewer()
 		v.send(`{"type":"setup","id":"%s","fields":{"class":"%s","left":"%s","tenant":"%s","key":"7f3a9c21e0b4d655","extras":"home:0;copies:2;top:0"},"sdp":"x"}`,
 			id1, class, left, tenant)
-		_, s := r.expectSetup()
-		s.sendRelease(causeError)
+		_, setup := r.expectSetup()
+		setup.sendRelease(causeError)
 		if class == "paid" && r == b { // the second of its two attempts
-			_, s = r.expectSetup()
-			s.sendRelease(causeError)
+			_, setup = r.expectSetup()
+			setup.sendRelease(causeError)
 		}
 		return v, v.receive()
 	}
@@ -91,14 +91,14 @@
 		v := x.r.dialViewer()
 		v.send(`{"type":"setup","id":"%s","fields":{"class":"%s","left":"%s","tenant":"%s","key":"7f3a9c21e0b4d655","extras":"home:0;copies:2;top:0"},"sdp":"x"}`,
 			id2, x.class, x.left, x.tenant)
-		if e := v.receive(); e.Type != "release" || e.Cause != causeInvalidField {
-			t.Errorf("%s of %s within %s ms: %+v", x.class, x.tenant, x.left, e)
+		if reply := v.receive(); reply.Type != "release" || reply.Cause != causeInvalidField {
+			t.Errorf("%s of %s within %s ms: %+v", x.class, x.tenant, x.left, reply)
 		}
 	}
 }
 
 // Times come from the settings; where those state none, from others of theirs.
-func TestTimesOfTheSettings(t *testing.T) {
+func TestTimeoutsFromTheSettings(t *testing.T) {
 	c, err := Parse([]byte(goodConfig))
 	if err != nil || c.ConnectMs != 120.5 || c.KeepAliveMs != 1.5*idleTimeoutMs || c.DrainGraceMs != 0 {
 		t.Fatalf("%+v, %v", c, err)
@@ -118,7 +118,7 @@
 }
 
 // Sessions of a media node that has vanished are given up in time for their viewers to hear, under any settings.
-func TestLossIsToldInTime(t *testing.T) {
+func TestSessionLossIsReportedInTime(t *testing.T) {
 	for _, tell := range []float64{0, 100, 1250, 4500, 60000} {
 		for _, connect := range []float64{20, 250, 5000} {
 			c, err := Parse([]byte(goodConfig))
--- a/internal/platform/proxy/harness_test.go
+++ b/internal/platform/proxy/harness_test.go
@@ -50,10 +50,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &standInNode{t: t, listener: ln, name: name, received: make(chan nodeMessage, 1000)}
-	go m.serve(ln)
-	t.Cleanup(func() { ln.Close(); m.resetConns() })
-	return m
+	node := &standInNode{t: t, listener: ln, name: name, received: make(chan nodeMessage, 1000)}
+	go node.serve(ln)
+	t.Cleanup(func() { ln.Close(); node.resetConns() })
+	return node
 }
 
 func (n *standInNode) serve(ln net.Listener) {
@@ -101,24 +101,26 @@
 // want waits for the next message of a type; others are passed over.
 func (n *standInNode) expect(typ frame.Type) nodeMessage {
 	n.t.Helper()
-	for late := time.After(testTimeout); ; {
+	for deadline := time.After(testTimeout); ; {
 		select {
 		case s := <-n.received:
 			if s.typ == typ {
 				return s
 			}
-		case <-late:
+		case <-deadline:
 			n.t.Fatalf("%s: no message of type %d came", n.name, typ)
 		}
 	}
 }
 
-func (s nodeMessage) sendAnswer(sdp string) {
-	out, at := frame.Begin(nil, frame.Answer, s.id)
-	s.conn.Write(frame.End(frame.AppendParameter(out, frame.SDP, sdp), at))
+func (msg nodeMessage) sendAnswer(sdp string) {
+	out, at := frame.Begin(nil, frame.Answer, msg.id)
+	msg.conn.Write(frame.End(frame.AppendParameter(out, frame.SDP, sdp), at))
 }
 
-func (s nodeMessage) sendRelease(cause byte) { s.conn.Write(frame.AppendRelease(nil, s.id, cause)) }
+func (msg nodeMessage) sendRelease(cause byte) {
+	msg.conn.Write(frame.AppendRelease(nil, msg.id, cause))
+}
 
 // rig is a director with its media nodes, each alone in its cell; every title is held by all.
 type harness struct {
@@ -143,10 +145,10 @@
 	h.dnsConn = dns
 	var hosts []string
 	for i := range nodes {
-		m := startStandInNode(t, fmt.Sprintf("s-%d", i))
-		h.nodes = append(h.nodes, m)
+		node := startStandInNode(t, fmt.Sprintf("s-%d", i))
+		h.nodes = append(h.nodes, node)
 		hosts = append(hosts, fmt.Sprintf(`{"host":"%s","dial":"%s","site":"east","class":"std","block":%d,"health":"in_service","share":1,"born_ms":0}`,
-			m.name, m.listener.Addr(), i))
+			node.name, node.listener.Addr(), i))
 	}
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","dns":"%s",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -194,7 +196,7 @@
 // setup waits for a set-up at any media node.
 func (h *harness) expectSetup() (*standInNode, nodeMessage) {
 	h.t.Helper()
-	for late := time.Now().Add(testTimeout); time.Now().Before(late); {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
 		for _, m := range h.nodes {
 			select {
 			case s := <-m.received:
@@ -273,8 +275,8 @@
 
 func (h *harness) waitFor(what string, f func(Stats) bool) {
 	h.t.Helper()
-	for late := time.Now().Add(testTimeout); !f(h.stats()); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(testTimeout); !f(h.stats()); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			h.t.Fatalf("%s: %+v", what, h.stats())
 		}
 	}
@@ -366,12 +368,12 @@
 func (h *harness) playSession(v *viewerClient, id string) (*standInNode, nodeMessage) {
 	h.t.Helper()
 	v.sendSetup(id, "free", "1;top:0")
-	m, s := h.expectSetup()
-	s.sendAnswer("x")
-	if e := v.receive(); e.Type != "answer" || e.ID != id {
-		h.t.Fatalf("not set up: %+v", e)
+	node, setup := h.expectSetup()
+	setup.sendAnswer("x")
+	if reply := v.receive(); reply.Type != "answer" || reply.ID != id {
+		h.t.Fatalf("not set up: %+v", reply)
 	}
-	return m, s
+	return node, setup
 }
 
 // connections waits until the director holds so many from viewers.
@@ -395,14 +397,14 @@
 	h.t.Helper()
 	before := h.stats().Opened
 	v.sendExistingSession(id, h.nodes[0].name)
-	h.waitFor("not taken", func(st Stats) bool { return st.Opened > before })
+	h.waitFor("not taken", func(stats Stats) bool { return stats.Opened > before })
 	return h.nodes[0]
 }
 
 // any waits for a connection that the director keeps there.
 func (n *standInNode) anyConn() net.Conn {
 	n.t.Helper()
-	for late := time.Now().Add(testTimeout); time.Now().Before(late); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		n.mu.Lock()
 		if len(n.conns) > 0 {
 			defer n.mu.Unlock()
--- a/internal/platform/proxy/proxy_test.go
+++ b/internal/platform/proxy/proxy_test.go
@@ -21,60 +21,60 @@
 		t.Fatalf("test: %+v", p)
 	}
 	v.sendSetup(id1, "paid", "2;top:1")
-	m, s := h.expectSetup()
-	if s.id != 0xa1 || s.class != "paid" || s.rung != "1" || s.sdp != "o\r\n\""+id1+"\"" {
-		t.Fatalf("set-up: %+v", s)
+	node, setup := h.expectSetup()
+	if setup.id != 0xa1 || setup.class != "paid" || setup.rung != "1" || setup.sdp != "o\r\n\""+id1+"\"" {
+		t.Fatalf("set-up: %+v", setup)
 	}
-	s.sendAnswer("v=0\r\n\"é\"")
+	setup.sendAnswer("v=0\r\n\"é\"")
 	if a := v.receive(); a.Type != "answer" || a.ID != id1 || a.SDP != "v=0\r\n\"é\"" {
 		t.Fatalf("answer: %+v", a)
 	}
-	s.sendRelease(causeNormal)
+	setup.sendRelease(causeNormal)
 	if a := v.receive(); a.Type != "release" || a.ID != id1 || a.Cause != causeNormal {
 		t.Fatalf("end: %+v", a)
 	}
-	m.expect(frame.Released)
+	node.expect(frame.Released)
 }
 
 // A session belongs to no connection: its end goes out on another one where its own is closed.
-func TestEndOnAnotherConnection(t *testing.T) {
+func TestReleaseOnAnotherConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	a, b := h.dialViewer(), h.dialViewer()
 	h.playSession(b, id2)
-	_, s1 := h.playSession(a, id1)
+	_, setup1 := h.playSession(a, id1)
 	a.conn.Close()
 	h.expectViewerConns(1)
-	s1.sendRelease(causeReset)
-	if e := b.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeReset {
-		t.Fatalf("%+v", e)
+	setup1.sendRelease(causeReset)
+	if reply := b.receive(); reply.Type != "release" || reply.ID != id1 || reply.Cause != causeReset {
+		t.Fatalf("%+v", reply)
 	}
 }
 
 // With no connection at all the release is kept until one comes. One whose peer confirms nothing is not relied on.
-func TestEndIsKeptUntilAConnectionComes(t *testing.T) {
+func TestReleaseIsKeptUntilAConnectionOpens(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	a := h.dialViewer()
-	_, s1 := h.playSession(a, id1)
+	_, setup1 := h.playSession(a, id1)
 	a.conn.Close()
 	h.expectViewerConns(0)
-	s1.sendRelease(causeNormal)
+	setup1.sendRelease(causeNormal)
 	h.expectUnconfirmed(1)
 	mute := h.dialViewer()
-	if e := mute.receive(); e.Type != "release" || e.ID != id1 {
-		t.Fatalf("%+v", e)
+	if reply := mute.receive(); reply.Type != "release" || reply.ID != id1 {
+		t.Fatalf("%+v", reply)
 	}
 	b := h.dialViewer()
 	b.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
 	b.receive()
-	if e := b.receive(); e.Type != "release" || e.ID != id1 {
-		t.Fatalf("%+v", e)
+	if reply := b.receive(); reply.Type != "release" || reply.ID != id1 {
+		t.Fatalf("%+v", reply)
 	}
 	b.send(`{"type":"released","id":"%s","fields":{}}`, id1)
 	h.expectUnconfirmed(0)
 }
 
 // A release that is written while its viewer closes the connection is read by nobody: it goes out again.
-func TestEndWrittenToAClosingConnection(t *testing.T) {
+func TestReleaseWrittenToAClosingConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	a, b := h.dialViewer(), h.dialViewer()
 	h.playSession(b, id2)
@@ -87,24 +87,24 @@
 		}
 		h.proxy.sessionEnded(s, headmill.Served, causeNormal, headmill.Report{})
 	})
-	if e := b.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeNormal {
-		t.Fatalf("%+v", e)
+	if reply := b.receive(); reply.Type != "release" || reply.ID != id1 || reply.Cause != causeNormal {
+		t.Fatalf("%+v", reply)
 	}
 	b.send(`{"type":"released","id":"%s","fields":{}}`, id1)
 	h.expectUnconfirmed(0)
 }
 
 // What the module gives up is answered at once, with a time to come back.
-func TestRefusalComesAtOnceWithAdvice(t *testing.T) {
+func TestRefusalIsImmediateWithRetryAdvice(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	began := time.Now()
 	v.sendSetup(id1, "paid", "1;top:0")
-	_, s := h.expectSetup()
-	s.sendRelease(causeFull)
-	e := v.receive()
-	if e.Type != "release" || e.Cause != causeCongested || e.Fields["wait"] != "700" {
-		t.Fatalf("%+v", e)
+	_, setup := h.expectSetup()
+	setup.sendRelease(causeFull)
+	reply := v.receive()
+	if reply.Type != "release" || reply.Cause != causeCongested || reply.Fields["wait"] != "700" {
+		t.Fatalf("%+v", reply)
 	}
 	if d := time.Since(began); d > 2*time.Second {
 		t.Fatalf("after %v of 3 s: it was sat on", d)
@@ -114,83 +114,83 @@
 // Errors and breaks prove nothing: the paid class gets no promise, and no second attempt.
 func TestPaidSetupThatMayHaveRunIsNeverRepeated(t *testing.T) {
 	for name, spoil := range map[string]func(*standInNode, nodeMessage){
-		"error": func(_ *standInNode, s nodeMessage) { s.sendRelease(causeError) },
-		"reset": func(m *standInNode, _ nodeMessage) { m.resetConns() },
-		"noise": func(_ *standInNode, s nodeMessage) { s.conn.Write([]byte{0, 9, 99, 1, 2, 3}) },
-		"claim": func(_ *standInNode, s nodeMessage) { s.conn.Write([]byte{0xff, 0xff, 9}) },
-		"short": func(_ *standInNode, s nodeMessage) { s.conn.Write([]byte{0, 40, 9, 0}) },
+		"error": func(_ *standInNode, setup nodeMessage) { setup.sendRelease(causeError) },
+		"reset": func(node *standInNode, _ nodeMessage) { node.resetConns() },
+		"noise": func(_ *standInNode, setup nodeMessage) { setup.conn.Write([]byte{0, 9, 99, 1, 2, 3}) },
+		"claim": func(_ *standInNode, setup nodeMessage) { setup.conn.Write([]byte{0xff, 0xff, 9}) },
+		"short": func(_ *standInNode, setup nodeMessage) { setup.conn.Write([]byte{0, 40, 9, 0}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := startHarness(t, 2, nil)
 			v := h.dialViewer()
 			v.sendSetup(id1, "paid", "2;top:0")
-			m, s := h.expectSetup()
-			spoil(m, s)
-			if e := v.receive(); e.Type != "release" || e.Cause != causeError {
-				t.Fatalf("%+v", e)
+			node, setup := h.expectSetup()
+			spoil(node, setup)
+			if reply := v.receive(); reply.Type != "release" || reply.Cause != causeError {
+				t.Fatalf("%+v", reply)
 			}
-			if st := h.stats(); st.Attempts != 1 || st.Failed != 1 {
-				t.Fatalf("%+v", st)
+			if stats := h.stats(); stats.Attempts != 1 || stats.Failed != 1 {
+				t.Fatalf("%+v", stats)
 			}
 		})
 	}
 }
 
 // A connection that was refused proves that nothing ran: the paid set-up goes on to another media node.
-func TestRefusedConnectionIsAProof(t *testing.T) {
+func TestRefusedConnectionProvesNothingRan(t *testing.T) {
 	h := startHarness(t, 2, nil)
 	h.nodes[0].listener.Close()
 	for i := range 4 { // titles start at either
 		v := h.dialViewer()
 		v.sendSetup(fmt.Sprintf("%016x", 0xb0+i), "paid", "2;top:0")
-		m, s := h.expectSetup()
-		if m != h.nodes[1] {
+		node, setup := h.expectSetup()
+		if node != h.nodes[1] {
 			t.Fatal("a set-up came to a media node that does not listen")
 		}
-		s.sendAnswer("x")
-		if e := v.receive(); e.Type != "answer" {
-			t.Fatalf("%+v", e)
+		setup.sendAnswer("x")
+		if reply := v.receive(); reply.Type != "answer" {
+			t.Fatalf("%+v", reply)
 		}
 	}
 }
 
 // An answer that is not the open attempt's is passed over: an unknown id, a second copy.
-func TestMoreThanIsTheirs(t *testing.T) {
+func TestUnexpectedAnswersAreIgnored(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	v.sendSetup(id1, "paid", "1;top:0")
-	_, s := h.expectSetup()
-	other := s
+	_, setup := h.expectSetup()
+	other := setup
 	other.id = 0xdead
 	other.sendAnswer("not yours")
-	s.sendAnswer("yours")
-	s.sendAnswer("yours")
-	if e := v.receive(); e.Type != "answer" || e.SDP != "yours" {
-		t.Fatalf("%+v", e)
+	setup.sendAnswer("yours")
+	setup.sendAnswer("yours")
+	if reply := v.receive(); reply.Type != "answer" || reply.SDP != "yours" {
+		t.Fatalf("%+v", reply)
 	}
-	s.sendRelease(causeNormal)
-	if e := v.receive(); e.Type != "release" || e.Cause != causeNormal {
-		t.Fatalf("a second answer: %+v", e)
+	setup.sendRelease(causeNormal)
+	if reply := v.receive(); reply.Type != "release" || reply.Cause != causeNormal {
+		t.Fatalf("a second answer: %+v", reply)
 	}
 }
 
 // A viewer that stops waiting: the media node is told, and the director forgets.
-func TestWithdrawnSetupIsGivenUp(t *testing.T) {
+func TestViewerCancelsSetup(t *testing.T) {
 	for name, leave := range map[string]func(*viewerClient){
-		"release": func(c *viewerClient) { c.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1) },
-		"close":   func(c *viewerClient) { c.conn.Close() },
+		"release": func(v *viewerClient) { v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1) },
+		"close":   func(v *viewerClient) { v.conn.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := startHarness(t, 1, nil)
 			v := h.dialViewer()
 			v.sendSetup(id1, "paid", "1;top:0")
-			m, s := h.expectSetup()
+			node, setup := h.expectSetup()
 			leave(v)
-			if e := m.expect(frame.Release); e.id != 0xa1 || e.cause != causeNormal {
-				t.Fatalf("%+v", e)
+			if msg := node.expect(frame.Release); msg.id != 0xa1 || msg.cause != causeNormal {
+				t.Fatalf("%+v", msg)
 			}
-			s.sendAnswer("too late")
-			h.waitFor("a session stands that nobody waits for", func(st Stats) bool { return st.ViewersLeft == 1 && st.Played == 0 })
+			setup.sendAnswer("too late")
+			h.waitFor("a session stands that nobody waits for", func(stats Stats) bool { return stats.ViewersLeft == 1 && stats.Played == 0 })
 		})
 	}
 }
@@ -199,31 +199,31 @@
 func TestViewerEndsItsSession(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m, s := h.playSession(v, id1)
+	node, setup := h.playSession(v, id1)
 	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
-	if e := v.receive(); e.Type != "released" {
-		t.Fatalf("%+v", e)
+	if reply := v.receive(); reply.Type != "released" {
+		t.Fatalf("%+v", reply)
 	}
-	m.expect(frame.Release)
-	s.sendRelease(causeCancelled)
+	node.expect(frame.Release)
+	setup.sendRelease(causeCancelled)
 	v.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
-	if e := v.receive(); e.Type != "pong" {
-		t.Fatalf("the viewer ended it and is told again: %+v", e)
+	if reply := v.receive(); reply.Type != "pong" {
+		t.Fatalf("the viewer ended it and is told again: %+v", reply)
 	}
 }
 
 // The start's sessions name a time that no class has; they are taken, and end as others do.
-func TestSessionsOfTheStart(t *testing.T) {
+func TestAdoptedSessions(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m := h.adoptSession(v, id1)
-	m.anyConn().Write(frame.AppendRelease(nil, 0xa1, causeNormal))
-	if e := v.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeNormal {
-		t.Fatalf("%+v", e)
+	node := h.adoptSession(v, id1)
+	node.anyConn().Write(frame.AppendRelease(nil, 0xa1, causeNormal))
+	if reply := v.receive(); reply.Type != "release" || reply.ID != id1 || reply.Cause != causeNormal {
+		t.Fatalf("%+v", reply)
 	}
 	v.sendExistingSession(id2, "s-77")
-	if e := v.receive(); e.Type != "release" || e.ID != id2 || e.Cause != causeReset {
-		t.Fatalf("a session at no listed media node: %+v", e)
+	if reply := v.receive(); reply.Type != "release" || reply.ID != id2 || reply.Cause != causeReset {
+		t.Fatalf("a session at no listed media node: %+v", reply)
 	}
 }
 
@@ -231,11 +231,11 @@
 func TestSessionsOfADeadMediaNode(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m, _ := h.playSession(v, id1)
-	m.listener.Close()
-	m.resetConns()
-	if e := v.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeReset {
-		t.Fatalf("%+v", e)
+	node, _ := h.playSession(v, id1)
+	node.listener.Close()
+	node.resetConns()
+	if reply := v.receive(); reply.Type != "release" || reply.ID != id1 || reply.Cause != causeReset {
+		t.Fatalf("%+v", reply)
 	}
 }
 
@@ -243,14 +243,14 @@
 func TestSessionsOutliveAConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m, _ := h.playSession(v, id1)
-	m.resetConns()
+	node, _ := h.playSession(v, id1)
+	node.resetConns()
 	v.sendSetup(id2, "free", "1;top:0")
-	_, s2 := h.expectSetup()
-	s2.id = 0xa1
-	s2.sendRelease(causeNormal) // its end comes on the next connection
-	if e := v.receive(); e.ID != id1 || e.Cause != causeNormal {
-		t.Fatalf("%+v", e)
+	_, setup2 := h.expectSetup()
+	setup2.id = 0xa1
+	setup2.sendRelease(causeNormal) // its end comes on the next connection
+	if reply := v.receive(); reply.ID != id1 || reply.Cause != causeNormal {
+		t.Fatalf("%+v", reply)
 	}
 }
 
@@ -259,45 +259,45 @@
 	h := startHarness(t, 1, nil)
 	v, rude := h.dialViewer(), h.dialViewer()
 	v.sendSetup(id1, "paid", "1;top:0")
-	_, s := h.expectSetup()
+	_, setup := h.expectSetup()
 	rude.sendSetup(id1, "paid", "1;top:1")
-	if e := rude.receive(); e.Type != "release" || e.Cause != causeInvalidField {
-		t.Fatalf("%+v", e)
+	if reply := rude.receive(); reply.Type != "release" || reply.Cause != causeInvalidField {
+		t.Fatalf("%+v", reply)
 	}
-	s.sendAnswer("x")
-	if e := v.receive(); e.Type != "answer" {
-		t.Fatalf("%+v", e)
+	setup.sendAnswer("x")
+	if reply := v.receive(); reply.Type != "answer" {
+		t.Fatalf("%+v", reply)
 	}
 	rude.sendSetup(id1, "paid", "1;top:1")
-	if e := rude.receive(); e.Type != "release" {
-		t.Fatalf("%+v", e)
+	if reply := rude.receive(); reply.Type != "release" {
+		t.Fatalf("%+v", reply)
 	}
-	s.sendRelease(causeNormal)
-	if e := v.receive(); e.Type != "release" || e.Cause != causeNormal {
-		t.Fatalf("%+v", e)
+	setup.sendRelease(causeNormal)
+	if reply := v.receive(); reply.Type != "release" || reply.Cause != causeNormal {
+		t.Fatalf("%+v", reply)
 	}
 }
 
 // Two requests under one number on one connection: neither goes on, one answer.
-func TestTwoUnderOneID(t *testing.T) {
+func TestDuplicateIDOnOneConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	v.sendSetup(id1, "paid", "1;top:0")
-	m, s := h.expectSetup()
+	node, setup := h.expectSetup()
 	v.sendSetup(id1, "paid", "1;top:1")
-	if e := v.receive(); e.Type != "release" || e.Cause != causeInvalidField {
-		t.Fatalf("%+v", e)
+	if reply := v.receive(); reply.Type != "release" || reply.Cause != causeInvalidField {
+		t.Fatalf("%+v", reply)
 	}
-	m.expect(frame.Release)
-	s.sendAnswer("x")
+	node.expect(frame.Release)
+	setup.sendAnswer("x")
 	v.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
-	if e := v.receive(); e.Type != "pong" {
-		t.Fatalf("a second answer: %+v", e)
+	if reply := v.receive(); reply.Type != "pong" {
+		t.Fatalf("a second answer: %+v", reply)
 	}
 }
 
 // Figures that no settings know are turned down, and the connection goes on.
-func TestSetupsThatCantBeUsed(t *testing.T) {
+func TestInvalidSetups(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	good := `{"type":"setup","id":"` + id1 + `","fields":{"class":"paid","left":"3000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:1"},"sdp":"x"}`
@@ -309,17 +309,17 @@
 			t.Fatalf("%v changes nothing", change)
 		}
 		v.send("%s", line)
-		if e := v.receive(); e.Type != "release" || e.Cause == causeFull || e.Cause == causeCongested || e.Cause == causeNeverRan {
-			t.Errorf("%v: %+v", change, e)
+		if reply := v.receive(); reply.Type != "release" || reply.Cause == causeFull || reply.Cause == causeCongested || reply.Cause == causeNeverRan {
+			t.Errorf("%v: %+v", change, reply)
 		}
 	}
-	if st := h.stats(); st.Requests != 0 || st.Attempts != 0 {
-		t.Fatalf("a bad set-up reached the module: %+v", st)
+	if stats := h.stats(); stats.Requests != 0 || stats.Attempts != 0 {
+		t.Fatalf("a bad set-up reached the module: %+v", stats)
 	}
 }
 
 // What can't be read, is too long, never ends or never begins closes its connection.
-func TestRudeConnectionsAreClosed(t *testing.T) {
+func TestMalformedInputClosesConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	for name, b := range map[string]string{"noise": "\x16\x03\x01\x02\n", "too long": strings.Repeat("x", 40000),
 		"id": `{"type":"setup","id":"-1","fields":{}}` + "\n", "silent": "", "no end": `{"type":"setup"`} {
@@ -333,7 +333,7 @@
 }
 
 // At the bound silent connections make room for those that ask.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
+func TestSilentConnectionsAreClosedAtTheLimit(t *testing.T) {
 	h := startHarness(t, 1, func(c *Config) { c.Sockets = 64 })
 	var silent []net.Conn
 	for range 40 {
@@ -346,10 +346,10 @@
 	}
 	v := h.dialViewer()
 	v.sendSetup(id1, "free", "1;top:0")
-	_, s := h.expectSetup()
-	s.sendAnswer("x")
-	if e := v.receive(); e.Type != "answer" {
-		t.Fatalf("%+v", e)
+	_, setup := h.expectSetup()
+	setup.sendAnswer("x")
+	if reply := v.receive(); reply.Type != "answer" {
+		t.Fatalf("%+v", reply)
 	}
 	silent[0].SetReadDeadline(time.Now().Add(testTimeout))
 	_, err := silent[0].Read(make([]byte, 1))
@@ -359,28 +359,28 @@
 }
 
 // A module that waits for an attempt that is never made would hold its place for good.
-func TestLeavingInTheRoundOfAsking(t *testing.T) {
+func TestSetupAndReleaseInOneRound(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	for i := range 50 { // more than the 20 places
 		v := h.dialViewer()
 		id := fmt.Sprintf("%016x", 0xc00+i)
 		fmt.Fprintf(v.conn, `{"type":"setup","id":"%s","fields":{"class":"free","left":"3000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:0"},"sdp":"x"}`+"\n"+
 			`{"type":"release","id":"%s","fields":{},"cause":16}`+"\n", id, id)
-		if e := v.receive(); e.Type != "released" {
-			t.Fatalf("%+v", e)
+		if reply := v.receive(); reply.Type != "released" {
+			t.Fatalf("%+v", reply)
 		}
 	}
 	v := h.dialViewer()
 	v.sendSetup(id1, "free", "1;top:0")
 	for {
-		_, s := h.expectSetup()
-		if s.id == 0xa1 {
-			s.sendAnswer("x")
+		_, setup := h.expectSetup()
+		if setup.id == 0xa1 {
+			setup.sendAnswer("x")
 			break
 		}
 	}
-	if e := v.receive(); e.Type != "answer" {
-		t.Fatalf("%+v", e)
+	if reply := v.receive(); reply.Type != "answer" {
+		t.Fatalf("%+v", reply)
 	}
 }
 
@@ -415,36 +415,36 @@
 func TestChangedAddress(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	old, _ := h.playSession(v, id1)
+	oldNode, _ := h.playSession(v, id1)
 	moved := startStandInNode(t, "s-0")
 	h.setNodeList("ready", moved.listener.Addr().String())
 	h.nodes = append(h.nodes, moved)
 	v.sendSetup(id2, "free", "1;top:0")
-	m, s := h.expectSetup()
-	if m == old {
+	node, setup := h.expectSetup()
+	if node == oldNode {
 		t.Fatal("a set-up went to the old address")
 	}
-	s.sendAnswer("x")
-	if e := v.receive(); e.ID != id2 || e.Type != "answer" {
-		t.Fatalf("%+v", e)
+	setup.sendAnswer("x")
+	if reply := v.receive(); reply.ID != id2 || reply.Type != "answer" {
+		t.Fatalf("%+v", reply)
 	}
 }
 
 // A session of the start plays at a rung that only its media node tells. What the module sets after that must be sent,
 // be it the lowest; what is in force already must not.
-func TestRungOfASessionOfTheStart(t *testing.T) {
+func TestRungOfAdoptedSession(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m := h.adoptSession(v, id1)
+	node := h.adoptSession(v, id1)
 	s := h.session(id1)
-	h.sendFeedback(m, s.id, "level", 1)
+	h.sendFeedback(node, s.id, "level", 1)
 	h.setRung(s, 0)
-	if got := m.expect(frame.Rate); got.id != s.id || got.rung != "0" {
+	if got := node.expect(frame.Rate); got.id != s.id || got.rung != "0" {
 		t.Fatalf("%+v", got)
 	}
 	h.setRung(s, 0)
 	h.setRung(s, 1)
-	if got := m.expect(frame.Rate); got.rung != "1" {
+	if got := node.expect(frame.Rate); got.rung != "1" {
 		t.Fatalf("an unchanged rung was sent: %+v", got)
 	}
 }
@@ -455,21 +455,21 @@
 	v := h.dialViewer()
 	v.sendExistingSession(id2, "s-77") // turned away: it must not be counted as one that waits
 	v.send(`{"type":"released","id":"%s","fields":{}}`, v.receive().ID)
-	_, s := h.playSession(v, id1)
+	_, setup := h.playSession(v, id1)
 	h.proxy.Stop()
 	v.sendSetup(id2, "paid", "1;top:0")
-	_, s2 := h.expectSetup()
-	s2.sendAnswer("x")
-	if e := v.receive(); e.Type != "answer" {
-		t.Fatalf("taken while requests still come: %+v", e)
+	_, setup2 := h.expectSetup()
+	setup2.sendAnswer("x")
+	if reply := v.receive(); reply.Type != "answer" {
+		t.Fatalf("taken while requests still come: %+v", reply)
 	}
-	for late := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		c, err := net.Dial("tcp4", h.addr)
 		if err != nil {
 			break
 		}
 		c.Close()
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			t.Fatal("the door stays open")
 		}
 	}
@@ -478,8 +478,8 @@
 		t.Fatal("ended while sessions stand")
 	default:
 	}
-	s.sendRelease(causeNormal)
-	s2.sendRelease(causeNormal)
+	setup.sendRelease(causeNormal)
+	setup2.sendRelease(causeNormal)
 	for range 2 {
 		v.send(`{"type":"released","id":"%s","fields":{}}`, v.receive().ID)
 	}
@@ -491,16 +491,16 @@
 }
 
 // A set-up that is out while its media node's address changes keeps its connection, and nobody else gets it.
-func TestChangedAddressWithASetUpOut(t *testing.T) {
+func TestChangedAddressDuringSetup(t *testing.T) {
 	h := startHarness(t, 1, func(c *Config) { c.Module.ReportIntervalMs = 1e6 }) // not to be closed for its silence
 	v := h.dialViewer()
 	v.sendSetup(id1, "free", "1;top:0")
-	_, s := h.expectSetup()
+	_, setup := h.expectSetup()
 	moved := startStandInNode(t, "s-0")
 	h.setNodeList("ready", moved.listener.Addr().String())
-	s.sendAnswer("x")
-	if e := v.receive(); e.Type != "answer" {
-		t.Fatalf("%+v", e)
+	setup.sendAnswer("x")
+	if reply := v.receive(); reply.Type != "answer" {
+		t.Fatalf("%+v", reply)
 	}
 	h.waitFor("connections to the old address stay open", func(Stats) bool {
 		old := 0
@@ -515,7 +515,7 @@
 	})
 	h.nodes = append(h.nodes, moved)
 	v.sendSetup(id2, "free", "1;top:0")
-	if m, _ := h.expectSetup(); m != moved {
+	if node, _ := h.expectSetup(); node != moved {
 		t.Fatal("a set-up went to the old address")
 	}
 }
@@ -526,7 +526,7 @@
 	h := startHarness(t, 1, func(c *Config) { c.ConnectMs = 20000; c.Snapshot.Items[0].Roster.Hosts[0].Dial = hole })
 	v := h.dialViewer()
 	v.send(`{"type":"setup","id":"%s","fields":{"class":"paid","left":"6000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:0"},"sdp":"x"}`, id1)
-	h.waitFor("no attempt", func(st Stats) bool { return st.Attempts == 1 })
+	h.waitFor("no attempt", func(stats Stats) bool { return stats.Attempts == 1 })
 	h.setNodeList("draining", hole)
 	go func() { // now connections come up
 		for {
@@ -541,32 +541,32 @@
 			}()
 		}
 	}()
-	if e := v.receive(); e.Type != "release" || e.Cause != causeCongested {
-		t.Fatalf("%+v", e)
+	if reply := v.receive(); reply.Type != "release" || reply.Cause != causeCongested {
+		t.Fatalf("%+v", reply)
 	}
 }
 
 // A spoilt answer means that the session stands there and nobody knows: it is ended there, on another connection.
-func TestSpoiltAnswersSessionIsEnded(t *testing.T) {
+func TestSessionWithMalformedAnswerIsEnded(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	v.sendSetup(id1, "paid", "1;top:0")
-	m, s := h.expectSetup()
-	s.conn.Write([]byte{0xff, 0xff, 9})
+	node, setup := h.expectSetup()
+	setup.conn.Write([]byte{0xff, 0xff, 9})
 	go func() { // and it keeps coming
 		for b := make([]byte, 1<<16); ; {
-			if _, err := s.conn.Write(b); err != nil {
+			if _, err := setup.conn.Write(b); err != nil {
 				return
 			}
 		}
 	}()
 	for {
-		if e := m.expect(frame.Release); e.id == 0xa1 && e.conn != s.conn {
+		if msg := node.expect(frame.Release); msg.id == 0xa1 && msg.conn != setup.conn {
 			break
 		}
 	}
-	if e := v.receive(); e.Type != "release" || e.Cause != causeError {
-		t.Fatalf("%+v", e)
+	if reply := v.receive(); reply.Type != "release" || reply.Cause != causeError {
+		t.Fatalf("%+v", reply)
 	}
 }
 
@@ -576,53 +576,53 @@
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	v.sendSetup(id1, "paid", "1;top:0")
-	m, s := h.expectSetup()
-	s.sendAnswer(strings.Repeat("\x01", 4000)) // six bytes each in JSON
-	if e := m.expect(frame.Release); e.id != 0xa1 {
-		t.Fatalf("%+v", e)
+	node, setup := h.expectSetup()
+	setup.sendAnswer(strings.Repeat("\x01", 4000)) // six bytes each in JSON
+	if msg := node.expect(frame.Release); msg.id != 0xa1 {
+		t.Fatalf("%+v", msg)
 	}
-	if e := v.receive(); e.Type != "release" || e.Cause != causeError {
-		t.Fatalf("%+v", e)
+	if reply := v.receive(); reply.Type != "release" || reply.Cause != causeError {
+		t.Fatalf("%+v", reply)
 	}
 }
 
 // What is to be told to a media node that can't be reached just now is told when it can.
-func TestEndIsToldWhenTheMediaNodeIsBack(t *testing.T) {
+func TestReleaseIsSentWhenTheMediaNodeIsBack(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m, _ := h.playSession(v, id1)
+	node, _ := h.playSession(v, id1)
 	hole, ln := fullBacklogListener(t)
-	h.runOnLoop(func() { h.proxy.nodes[discovery.NodeIDFromName(m.name)].addr = hole })
-	m.resetConns()
+	h.runOnLoop(func() { h.proxy.nodes[discovery.NodeIDFromName(node.name)].addr = hole })
+	node.resetConns()
 	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
 	v.receive()
 	h.waitFor("not ended", func(Stats) bool { return h.sessionCount() == 0 }) // the first connect has failed by then, or will
-	go m.serve(ln)
-	if e := m.expect(frame.Release); e.id != 0xa1 {
-		t.Fatalf("%+v", e)
+	go node.serve(ln)
+	if msg := node.expect(frame.Release); msg.id != 0xa1 {
+		t.Fatalf("%+v", msg)
 	}
 }
 
 // A media node tells an end on its connection and again on the next one: it counts once.
-func TestEndToldTwice(t *testing.T) {
+func TestDuplicateReleaseFromMediaNode(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m, s := h.playSession(v, id1)
-	s.sendRelease(causeReset)
-	s.sendRelease(causeReset)
-	m.expect(frame.Released)
-	m.expect(frame.Released)
-	if e := v.receive(); e.Type != "release" || e.Cause != causeReset {
-		t.Fatalf("%+v", e)
+	node, setup := h.playSession(v, id1)
+	setup.sendRelease(causeReset)
+	setup.sendRelease(causeReset)
+	node.expect(frame.Released)
+	node.expect(frame.Released)
+	if reply := v.receive(); reply.Type != "release" || reply.Cause != causeReset {
+		t.Fatalf("%+v", reply)
 	}
 	v.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
-	if e := v.receive(); e.Type != "pong" {
-		t.Fatalf("told twice: %+v", e)
+	if reply := v.receive(); reply.Type != "pong" {
+		t.Fatalf("told twice: %+v", reply)
 	}
 }
 
 // A drain that the name service tells keeps set-ups away, through DNS on a socket.
-func TestDrainToldByTheNameService(t *testing.T) {
+func TestDrainFromDiscovery(t *testing.T) {
 	h := startHarness(t, 2, nil)
 	v := h.dialViewer()
 	h.serveDNS(7, func(i int) bool { return i == 0 })
@@ -633,17 +633,17 @@
 	})
 	for i := range 6 {
 		v.sendSetup(fmt.Sprintf("%016x", 0xd0+i), "free", "2;top:0")
-		m, s := h.expectSetup()
-		if m == h.nodes[0] {
+		node, setup := h.expectSetup()
+		if node == h.nodes[0] {
 			t.Fatal("a set-up came to a draining media node")
 		}
-		s.sendAnswer("x")
+		setup.sendAnswer("x")
 		v.receive()
 	}
 }
 
 // Descriptions that wait are held within a part of the memory; one more is refused at once, with a time to come back.
-func TestFloodIsHeldWithinBounds(t *testing.T) {
+func TestPendingSetupsAreBoundedInMemory(t *testing.T) {
 	h := startHarness(t, 1, func(c *Config) { c.MemoryMB = 1 })
 	v := h.dialViewer()
 	big, n := strings.Repeat("x", 15000), 40
@@ -654,12 +654,12 @@
 	}()
 	refused := 0
 	for range n {
-		if e := v.receive(); e.Type == "release" && e.Cause == causeCongested && e.Fields["wait"] != "" {
+		if reply := v.receive(); reply.Type == "release" && reply.Cause == causeCongested && reply.Fields["wait"] != "" {
 			refused++
 		}
 	}
-	if st := h.stats(); refused < n/2 || st.Requests+st.Denied != n || st.Denied == 0 {
-		t.Fatalf("%d refused, %+v", refused, st)
+	if stats := h.stats(); refused < n/2 || stats.Requests+stats.Denied != n || stats.Denied == 0 {
+		t.Fatalf("%d refused, %+v", refused, stats)
 	}
 	h.waitFor("what was held is not given back", func(Stats) bool {
 		var held int64
@@ -669,28 +669,28 @@
 }
 
 // What has ended leaves nothing behind: ids, connections and media nodes are new all the time on a long day.
-func TestNothingGrows(t *testing.T) {
+func TestNoStateIsLeftBehind(t *testing.T) {
 	h := startHarness(t, 1, nil)
-	m := h.nodes[0]
+	node := h.nodes[0]
 	for round := range 8 {
 		name := fmt.Sprintf("s-new-%d", round)
 		h.runOnLoop(func() {
 			if err := h.proxy.applyNodeList(&discovery.Message{Version: uint64(10 + round), Full: true, Entries: []discovery.Entry{
-				{Name: name, Addr: m.listener.Addr().String(), State: "ready", Weight: 1}}}); err != nil {
+				{Name: name, Addr: node.listener.Addr().String(), State: "ready", Weight: 1}}}); err != nil {
 				t.Error(err)
 			}
 		})
 		for i := range 10 {
 			v, id := h.dialViewer(), fmt.Sprintf("%016x", 0x1000+100*round+i)
 			v.sendSetup(id, "free", "1;top:0")
-			_, s := h.expectSetup()
+			_, setup := h.expectSetup()
 			if i%5 == 0 { // nobody waits any more
 				v.conn.Close()
 				continue
 			}
-			s.sendAnswer("x")
+			setup.sendAnswer("x")
 			v.receive()
-			s.sendRelease(causeNormal)
+			setup.sendRelease(causeNormal)
 			v.receive()
 			v.send(`{"type":"released","id":"%s","fields":{}}`, id)
 			v.conn.Close()
@@ -713,8 +713,8 @@
 		})
 		return out
 	}
-	for late := time.Now().Add(testTimeout); strings.Trim(sizes(), "0 ") != ""; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(testTimeout); strings.Trim(sizes(), "0 ") != ""; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("left behind: %s", sizes())
 		}
 	}
--- a/internal/platform/proxy/race_test.go
+++ b/internal/platform/proxy/race_test.go
@@ -20,15 +20,15 @@
 
 // unseen waits until a connection's end has reached the machine; the loop, which runs this, has not seen it.
 func waitForPeerClose(t *testing.T, c *loop.Conn) {
-	for late := time.Now().Add(testTimeout); !c.WriteClosed(); time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(testTimeout); !c.WriteClosed(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Error("the end does not come")
 			return
 		}
 	}
 }
 
-func TestSetUpAndCloseInOneRead(t *testing.T) {
+func TestSetupAndCloseInOneRead(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	for range 5 { // also where the connection to the media node stands already
 		v := h.dialViewer()
@@ -37,15 +37,15 @@
 			v.sendSetup(id1, "free", "1;top:0")
 			v.conn.Close()
 			for _, x := range h.proxy.viewers {
-				for late := time.Now().Add(testTimeout); unreadData(x.conn) == 0 && time.Now().Before(late); time.Sleep(time.Millisecond) {
+				for deadline := time.Now().Add(testTimeout); unreadData(x.conn) == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 				}
 			}
 			time.Sleep(5 * time.Millisecond) // the end follows its bytes on loopback; an earlier read only makes this easier
 		})
 		h.expectViewerConns(0)
 	}
-	if st := h.stats(); st.Attempts != 0 || st.Requests != 5 || st.ViewersLeft != 5 {
-		t.Fatalf("attempts for clients that have gone: %+v", st)
+	if stats := h.stats(); stats.Attempts != 0 || stats.Requests != 5 || stats.ViewersLeft != 5 {
+		t.Fatalf("attempts for clients that have gone: %+v", stats)
 	}
 }
 
@@ -64,24 +64,24 @@
 	h.setNodeList("ready", addr)
 	v := h.dialViewer()
 	v.sendSetup(id1, "free", "1;top:0")
-	h.waitFor("no attempt", func(s Stats) bool { return s.Attempts == 1 })
+	h.waitFor("no attempt", func(stats Stats) bool { return stats.Attempts == 1 })
 	s := h.session(id1)
-	m := &standInNode{t: t, listener: hole, name: "hole", received: make(chan nodeMessage, 100)}
+	node := &standInNode{t: t, listener: hole, name: "hole", received: make(chan nodeMessage, 100)}
 	h.runOnLoop(func() {
 		v.conn.Close()
 		waitForPeerClose(t, s.viewer.conn)
-		go m.serve(hole)
-		for late := time.Now().Add(testTimeout); !s.attempt.conn.conn.Established(); time.Sleep(time.Millisecond) {
-			if time.Now().After(late) {
+		go node.serve(hole)
+		for deadline := time.Now().Add(testTimeout); !s.attempt.conn.conn.Established(); time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
 				t.Error("the connection does not come up")
 				return
 			}
 		}
 	})
-	h.waitFor("the viewer's end is not seen", func(s Stats) bool { return s.ViewersLeft == 1 })
+	h.waitFor("the viewer's end is not seen", func(stats Stats) bool { return stats.ViewersLeft == 1 })
 	w := h.dialViewer()
 	w.sendSetup(id2, "free", "1;top:0") // on the connection that is up: the media node has got nothing before it
-	if got := m.expect(frame.Setup); got.id != 0xa2 {
+	if got := node.expect(frame.Setup); got.id != 0xa2 {
 		t.Fatalf("an attempt began after its viewer had gone: %+v", got)
 	}
 }
@@ -91,20 +91,20 @@
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	v.sendSetup(id1, "paid", "1;top:0")
-	m, s := h.expectSetup()
+	node, setup := h.expectSetup()
 	open := h.session(id1)
 	h.runOnLoop(func() {
 		v.conn.Close()
 		waitForPeerClose(t, open.viewer.conn)
-		s.sendAnswer("x")
-		for late := time.Now().Add(testTimeout); unreadData(open.attempt.conn.conn) == 0 && time.Now().Before(late); time.Sleep(time.Millisecond) {
+		setup.sendAnswer("x")
+		for deadline := time.Now().Add(testTimeout); unreadData(open.attempt.conn.conn) == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		}
 	})
-	if e := m.expect(frame.Release); e.id != 0xa1 || e.cause != causeNormal {
-		t.Fatalf("%+v", e)
+	if msg := node.expect(frame.Release); msg.id != 0xa1 || msg.cause != causeNormal {
+		t.Fatalf("%+v", msg)
 	}
-	if st := h.stats(); st.Played != 0 || st.ViewersLeft != 1 {
-		t.Fatalf("%+v", st)
+	if stats := h.stats(); stats.Played != 0 || stats.ViewersLeft != 1 {
+		t.Fatalf("%+v", stats)
 	}
 }
 
@@ -112,11 +112,11 @@
 func TestAnswerThatNeverLeft(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m, _ := h.playSession(v, id1)
+	node, _ := h.playSession(v, id1)
 	s := h.session(id1)
 	h.runOnLoop(func() { s.answerEnd = s.viewer.conn.Written() + 1; s.viewer.conn.Close(loop.ErrSlowReader) })
-	if e := m.expect(frame.Release); e.id != 0xa1 {
-		t.Fatalf("%+v", e)
+	if msg := node.expect(frame.Release); msg.id != 0xa1 {
+		t.Fatalf("%+v", msg)
 	}
 }
 
@@ -125,18 +125,18 @@
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	v.sendSetup(id1, "paid", "1;top:0")
-	m, _ := h.expectSetup()
-	m.resetConns()
-	if e := m.expect(frame.Release); e.id != 0xa1 || e.cause != causeNormal {
-		t.Fatalf("%+v", e)
+	node, _ := h.expectSetup()
+	node.resetConns()
+	if msg := node.expect(frame.Release); msg.id != 0xa1 || msg.cause != causeNormal {
+		t.Fatalf("%+v", msg)
 	}
-	if e := v.receive(); e.Cause != causeError {
-		t.Fatalf("%+v", e)
+	if reply := v.receive(); reply.Cause != causeError {
+		t.Fatalf("%+v", reply)
 	}
 }
 
 // A connection that the machine has taken when the door closes is served.
-func TestDoorClosesOnATakenConnection(t *testing.T) {
+func TestListenerClosesAfterAnAcceptedConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	var v *viewerClient
 	h.runOnLoop(func() {
@@ -144,10 +144,10 @@
 		v.sendSetup(id1, "free", "1;top:0")
 		h.proxy.applyShutdownAction(shutdown.CloseListeners)
 	})
-	_, s := h.expectSetup()
-	s.sendAnswer("x")
-	if e := v.receive(); e.Type != "answer" {
-		t.Fatalf("%+v", e)
+	_, setup := h.expectSetup()
+	setup.sendAnswer("x")
+	if reply := v.receive(); reply.Type != "answer" {
+		t.Fatalf("%+v", reply)
 	}
 	if c, err := net.Dial("tcp4", h.addr); err == nil {
 		c.Close()
@@ -156,27 +156,27 @@
 }
 
 // What still waits when a stop can wait no longer is answered, and its attempt given up.
-func TestStopFailsWhatWaits(t *testing.T) {
+func TestStopFailsPendingSetups(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	v.sendSetup(id1, "free", "1;top:0")
-	m, _ := h.expectSetup()
+	node, _ := h.expectSetup()
 	h.runOnLoop(func() { h.proxy.applyShutdownAction(shutdown.FailPending) })
-	if e := v.receive(); e.Type != "release" || e.Cause != causeError {
-		t.Fatalf("%+v", e)
+	if reply := v.receive(); reply.Type != "release" || reply.Cause != causeError {
+		t.Fatalf("%+v", reply)
 	}
-	if e := m.expect(frame.Release); e.id != 0xa1 || h.sessionCount() != 0 {
-		t.Fatalf("%+v, %d sessions", e, h.sessionCount())
+	if msg := node.expect(frame.Release); msg.id != 0xa1 || h.sessionCount() != 0 {
+		t.Fatalf("%+v, %d sessions", msg, h.sessionCount())
 	}
 }
 
 // A stop waits for what is written and not taken by its peer, and for releases that nobody has confirmed.
-func TestUnsent(t *testing.T) {
+func TestUnsentMessages(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	_, s := h.playSession(v, id1)
+	_, setup := h.playSession(v, id1)
 	h.runOnLoop(func() {
-		c := h.proxy.sessions[s.id].viewer.conn
+		c := h.proxy.sessions[setup.id].viewer.conn
 		c.SetLimit(0)
 		for big := make([]byte, 1<<20); c.Pending() == 0; {
 			c.Write(big)
@@ -185,7 +185,7 @@
 			t.Errorf("%d unsent, want the viewer's", got)
 		}
 	})
-	s.sendRelease(causeNormal)
+	setup.sendRelease(causeNormal)
 	h.expectUnconfirmed(1)
 	h.runOnLoop(func() {
 		if got := h.proxy.unsentMessages(); got != 2 {
@@ -195,14 +195,14 @@
 }
 
 // A client that leaves while its attempt waits for a connection says nothing of the media node.
-func TestLeavingBlamesNobody(t *testing.T) {
+func TestCancelledConnectDoesNotCountAgainstTheNode(t *testing.T) {
 	addr, _ := fullBacklogListener(t)
 	h := startHarness(t, 1, func(c *Config) { c.ConnectMs = 60000 })
 	h.setNodeList("ready", addr)
 	for i := range 3 {
 		v := h.dialViewer()
 		v.sendSetup(id1, "free", "1;top:0")
-		h.waitFor("the media node is rested", func(s Stats) bool { return s.Attempts == i+1 })
+		h.waitFor("the media node is rested", func(stats Stats) bool { return stats.Attempts == i+1 })
 		v.conn.Close()
 		h.expectViewerConns(0)
 	}
@@ -239,20 +239,20 @@
 }
 
 // A new media node has the address of one that has gone: that it answers there proves nothing for the old one's sessions.
-func TestAddressPassesToAnother(t *testing.T) {
+func TestAddressReassignedToAnotherNode(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m := h.adoptSession(v, id1)
-	m.anyConn()
+	node := h.adoptSession(v, id1)
+	node.anyConn()
 	h.runOnLoop(func() {
 		if err := h.proxy.applyNodeList(&discovery.Message{Version: 9, Full: true, Entries: []discovery.Entry{{Name: "s-new",
-			Addr: m.listener.Addr().String(), State: "ready", Weight: 1}}}); err != nil {
+			Addr: node.listener.Addr().String(), State: "ready", Weight: 1}}}); err != nil {
 			t.Error(err)
 		}
 	})
-	m.resetConns()
-	if e := v.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeReset {
-		t.Fatalf("%+v", e)
+	node.resetConns()
+	if reply := v.receive(); reply.Type != "release" || reply.ID != id1 || reply.Cause != causeReset {
+		t.Fatalf("%+v", reply)
 	}
 }
 
@@ -260,16 +260,16 @@
 func TestReleaseLostWithItsConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m, _ := h.playSession(v, id1)
+	node, _ := h.playSession(v, id1)
 	s := h.session(id1)
 	h.runOnLoop(func() {
 		nc := s.node.conns[0]
-		m.resetConns()
+		node.resetConns()
 		waitForPeerClose(t, nc.conn)
 		h.proxy.endedByViewer(s)
 	})
-	if e := m.expect(frame.Release); e.id != 0xa1 || e.cause != causeNormal {
-		t.Fatalf("%+v", e)
+	if msg := node.expect(frame.Release); msg.id != 0xa1 || msg.cause != causeNormal {
+		t.Fatalf("%+v", msg)
 	}
 }
 
@@ -283,19 +283,19 @@
 }
 
 // Lines that come in pieces which always end in the middle of the next one: each has its own time.
-func TestPiecesAcrossLines(t *testing.T) {
+func TestFragmentsAcrossLines(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	_, s := h.playSession(v, id1) // the connection has asked
-	s.sendRelease(causeNormal)
+	_, setup := h.playSession(v, id1) // the connection has asked
+	setup.sendRelease(causeNormal)
 	v.receive()
 	line := `{"type":"ping","id":"x","fields":{},"cause":0}` + "\n"
 	fmt.Fprint(v.conn, line+line[:5])
 	v.receive()
 	first := h.waitForClock()
 	fmt.Fprint(v.conn, line[5:]+line[:5])
-	if e := v.receive(); e.Type != "pong" {
-		t.Fatalf("%+v", e)
+	if reply := v.receive(); reply.Type != "pong" {
+		t.Fatalf("%+v", reply)
 	}
 	h.runOnLoop(func() {
 		if out := h.proxy.connManager.Step(first+readTimeoutMs, connmgr.Event{Kind: connmgr.Tick}, nil); len(out) > 0 {
@@ -305,41 +305,41 @@
 }
 
 // The same of a media node's messages.
-func TestPiecesAcrossMessages(t *testing.T) {
+func TestFragmentsAcrossMessages(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m, s := h.playSession(v, id1)
+	node, setup := h.playSession(v, id1)
 	out, at := frame.Begin(nil, frame.Ping, 1)
 	out = frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), at)
 	cut := append(out[3:len(out):len(out)], out[:3]...)
-	s.conn.Write(append(out[:len(out):len(out)], out[:3]...))
-	m.expect(frame.Pong)
+	setup.conn.Write(append(out[:len(out):len(out)], out[:3]...))
+	node.expect(frame.Pong)
 	first := h.waitForClock()
-	s.conn.Write(cut)
-	m.expect(frame.Pong)
+	setup.conn.Write(cut)
+	node.expect(frame.Pong)
 	h.runOnLoop(func() {
-		if nc := h.proxy.sessions[s.id].node.conns[0]; !nc.reader.Partial() || nc.partialSince < first {
+		if nc := h.proxy.sessions[setup.id].node.conns[0]; !nc.reader.Partial() || nc.partialSince < first {
 			t.Errorf("the rest of a message is awaited since %v, it began after %v", nc.partialSince, first)
 		}
 	})
 }
 
 // A connection that its media node may be closing for idleness gets no set-up.
-func TestIdleConnectionIsNotTrusted(t *testing.T) {
+func TestConnectionNearIdleTimeoutIsNotUsed(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m, s := h.playSession(v, id1)
+	node, setup := h.playSession(v, id1)
 	h.runOnLoop(func() {
-		h.proxy.sessions[s.id].node.conns[0].lastUsed -= h.proxy.cfg.KeepAliveMs - h.proxy.cfg.ConnectMs + 1
+		h.proxy.sessions[setup.id].node.conns[0].lastUsed -= h.proxy.cfg.KeepAliveMs - h.proxy.cfg.ConnectMs + 1
 	})
 	v.sendSetup(id2, "free", "1;top:0")
-	if got := m.expect(frame.Setup); got.id != 0xa2 || got.conn == s.conn {
+	if got := node.expect(frame.Setup); got.id != 0xa2 || got.conn == setup.conn {
 		t.Fatalf("%+v: a set-up crosses the close of its connection", got)
 	}
 }
 
 // A session of the start that is over since its media node has gone: the word crosses the close of its connection.
-func TestStartsSessionOverOnAClosingConnection(t *testing.T) {
+func TestReleaseOfUnlistedSessionOnAClosingConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	a, b := h.dialViewer(), h.dialViewer()
 	h.playSession(b, id2)
@@ -348,24 +348,24 @@
 		a.sendExistingSession(id1, "s-77")
 		a.conn.Close()
 		for _, v := range h.proxy.viewers {
-			for late := time.Now().Add(testTimeout); len(v.playing) == 0 && unreadData(v.conn) == 0 && time.Now().Before(late); time.Sleep(time.Millisecond) {
+			for deadline := time.Now().Add(testTimeout); len(v.playing) == 0 && unreadData(v.conn) == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 			}
 		}
 	})
-	if e := b.receive(); e.Type != "release" || e.ID != id1 || e.Cause != causeReset {
-		t.Fatalf("%+v", e)
+	if reply := b.receive(); reply.Type != "release" || reply.ID != id1 || reply.Cause != causeReset {
+		t.Fatalf("%+v", reply)
 	}
 }
 
 // A connection that this side closes for idleness has delivered what was written there: nothing is told twice, and no
 // connection opened for it.
-func TestIdleCloseTellsNothingAgain(t *testing.T) {
+func TestIdleCloseRepeatsNoRelease(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	m, _ := h.playSession(v, id1)
+	node, _ := h.playSession(v, id1)
 	at := h.session(id1).node
 	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
-	m.expect(frame.Release)
+	node.expect(frame.Release)
 	h.runOnLoop(at.closeUnusedConns)
 	h.runOnLoop(func() {}) // its end is told after the round
 	h.runOnLoop(func() {
@@ -377,40 +377,40 @@
 
 // A session's end is lost with the connection that it was written on, while another stands: the media node tells it again
 // on the next one opened, so one has to be.
-func TestEndLostWithOneOfTwoConnections(t *testing.T) {
+func TestReleaseLostWithOneOfTwoConnections(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	v.sendSetup(id1, "free", "1;top:0")
-	_, a := h.expectSetup()
+	_, setupA := h.expectSetup()
 	v.sendSetup(id2, "free", "1;top:0")
-	m, b := h.expectSetup()
-	if a.conn == b.conn {
+	node, setupB := h.expectSetup()
+	if setupA.conn == setupB.conn {
 		t.Fatal("two set-ups on one connection: this shows nothing")
 	}
-	a.sendAnswer("x")
+	setupA.sendAnswer("x")
 	v.receive()
-	b.sendAnswer("x")
+	setupB.sendAnswer("x")
 	v.receive()
-	a.conn.(*net.TCPConn).SetLinger(0)
-	a.conn.Close()
+	setupA.conn.(*net.TCPConn).SetLinger(0)
+	setupA.conn.Close()
 	fresh := func() (c net.Conn) {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		if last := m.conns[len(m.conns)-1]; last != a.conn && last != b.conn {
+		node.mu.Lock()
+		defer node.mu.Unlock()
+		if last := node.conns[len(node.conns)-1]; last != setupA.conn && last != setupB.conn {
 			c = last
 		}
 		return c
 	}
 	out, at := frame.Begin(nil, frame.Ping, 1)
 	out = frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), at)
-	for late := time.Now().Add(testTimeout); fresh() == nil; time.Sleep(5 * time.Millisecond) {
-		b.conn.Write(out) // the other connection is heard all the time: its silence opens none
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(testTimeout); fresh() == nil; time.Sleep(5 * time.Millisecond) {
+		setupB.conn.Write(out) // the other connection is heard all the time: its silence opens none
+		if time.Now().After(deadline) {
 			t.Fatal("no other connection is opened")
 		}
 	}
-	fresh().Write(frame.AppendRelease(nil, a.id, causeNormal))
-	if e := v.receive(); e.Type != "release" || e.ID != id1 {
-		t.Fatalf("%+v", e)
+	fresh().Write(frame.AppendRelease(nil, setupA.id, causeNormal))
+	if reply := v.receive(); reply.Type != "release" || reply.ID != id1 {
+		t.Fatalf("%+v", reply)
 	}
 }
