--- a/internal/platform/dns/dns_test.go
+++ b/internal/platform/dns/dns_test.go
@@ -11,7 +11,7 @@
 
 var testVocabulary = Vocabulary{Zones: []string{"east", "west"}, Kinds: []string{"std", "big"}}
 
-// datagram packs an answer; change may spoil it before.
+// packAnswer encodes an answer; change may modify it first.
 func packAnswer(t *testing.T, change func(*dnsmessage.Message)) []byte {
 	t.Helper()
 	name := dnsmessage.MustNewName
@@ -57,11 +57,11 @@
 	}
 }
 
-// Half a list would look like media nodes that are gone, so such an answer counts as none.
+// A partial list would look as if media nodes had been removed, so such an answer is rejected.
 func TestUnusableAnswers(t *testing.T) {
 	for name, change := range map[string]func(*dnsmessage.Message){
 		"failure":      func(m *dnsmessage.Message) { m.RCode = dnsmessage.RCodeServerFailure },
-		"cut short":    func(m *dnsmessage.Message) { m.Truncated = true },
+		"truncated":    func(m *dnsmessage.Message) { m.Truncated = true },
 		"no address":   func(m *dnsmessage.Message) { m.Additionals = m.Additionals[1:] },
 		"no text":      func(m *dnsmessage.Message) { m.Additionals = m.Additionals[:3] },
 		"no serial":    func(m *dnsmessage.Message) { m.Authorities = nil },
@@ -70,7 +70,7 @@
 		"unknown zone": func(m *dnsmessage.Message) {
 			m.Answers[0].Body.(*dnsmessage.SRVResource).Target = dnsmessage.MustNewName("s-1.up.")
 		},
-		"cell no digit": func(m *dnsmessage.Message) { m.Additionals[1].Body.(*dnsmessage.TXTResource).TXT[1] = "cell=x" },
+		"cell not a number": func(m *dnsmessage.Message) { m.Additionals[1].Body.(*dnsmessage.TXTResource).TXT[1] = "cell=x" },
 	} {
 		if _, err := ParseAnswer(packAnswer(t, change), testVocabulary); !errors.Is(err, ErrUnusableAnswer) {
 			t.Errorf("%s: %v", name, err)
@@ -79,7 +79,7 @@
 	whole := packAnswer(t, nil)
 	for n := range whole {
 		if _, err := ParseAnswer(whole[:n], testVocabulary); err == nil {
-			t.Errorf("the first %d of %d bytes are taken", n, len(whole))
+			t.Errorf("the first %d of %d bytes are accepted", n, len(whole))
 		}
 	}
 }
@@ -100,6 +100,6 @@
 	}
 	k.Items[0].Roster.Hosts[0].Health = "asleep"
 	if _, err := k.Message(testVocabulary); err == nil {
-		t.Fatal("a state that is not known is taken")
+		t.Fatal("an unknown state is accepted")
 	}
 }
--- a/internal/platform/frame/frame_test.go
+++ b/internal/platform/frame/frame_test.go
@@ -6,12 +6,13 @@
 	"testing"
 )
 
+// answer encodes an answer.
 func answer(id uint64, sdp string) []byte {
 	out, at := Begin(nil, Answer, id)
 	return End(AppendParameter(AppendParameter(out, Report, "outstanding:3"), SDP, sdp), at)
 }
 
-// Messages come whole in any split.
+// Messages are read completely however the stream is split.
 func TestReaderInAnySplit(t *testing.T) {
 	stream := append(answer(7, "v=0\r\n"), AppendRelease(nil, 1<<63, 41)...)
 	for cut := range len(stream) + 1 {
@@ -31,7 +32,7 @@
 	}
 }
 
-// What can't be read must be told at once, not waited for.
+// Malformed input fails at once, even if more bytes could follow.
 func TestMalformedMessages(t *testing.T) {
 	good := answer(7, "v=0\r\n")
 	change := func(at int, b ...byte) []byte {
@@ -40,7 +41,7 @@
 		return c
 	}
 	for name, b := range map[string][]byte{
-		"length over the bound":      {0xff, 0xff},
+		"length over the limit":      {0xff, 0xff},
 		"length too short":           {0, 3, 9},
 		"unknown type":               change(2, 99),
 		"unknown type, nothing more": {0, 200, 99},
@@ -51,19 +52,20 @@
 		"description not UTF-8":      answer(7, "\xff\xfe"),
 		"release without cause":      func() []byte { o, at := Begin(nil, Release, 1); return End(o, at) }(),
 		"cause of two bytes":         func() []byte { o, at := Begin(nil, Release, 1); return End(AppendParameter(o, Cause, "ab"), at) }(),
-		"note without figure": func() []byte {
+		"feedback without value": func() []byte {
 			o, at := Begin(nil, Feedback, 1)
 			return End(AppendParameter(o, FeedbackKind, "got"), at)
 		}(),
 	} {
 		var r Reader
-		err := r.Feed(b, func(m *Message) bool { t.Errorf("%s: taken as %+v", name, m); return true })
+		err := r.Feed(b, func(m *Message) bool { t.Errorf("%s: accepted as %+v", name, m); return true })
 		if !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
+// Any input gives the same messages and the same verdict however it is split.
 func FuzzReader(f *testing.F) {
 	f.Add(append(answer(7, "v=0"), AppendRelease(nil, 9, 34)...), uint(5))
 	f.Fuzz(func(t *testing.T, b []byte, cut uint) {
--- a/internal/platform/jsonline/jsonline_test.go
+++ b/internal/platform/jsonline/jsonline_test.go
@@ -8,6 +8,7 @@
 	"unicode/utf8"
 )
 
+// A set-up with escapes, a number as a field and an unknown member is read.
 func TestSetup(t *testing.T) {
 	var m Message
 	err := Parse([]byte(`{"type":"setup","id":"9b1f03aa5c7e2d41","new":[1,{"a":null}],"fields":{"class":"paid","left":1500,`+
@@ -22,7 +23,7 @@
 		t.Fatalf("%+v", m)
 	}
 	if _, there := m.Get("tenant"); there {
-		t.Fatal("a field that is not there was found")
+		t.Fatal("an absent field was found")
 	}
 }
 
@@ -44,12 +45,12 @@
 func TestIDsAreSixteenLowerHexDigits(t *testing.T) {
 	for _, s := range []string{"", "1", "9b1f03aa5c7e2d4", "9b1f03aa5c7e2d411", "9B1F03AA5C7E2D41", "9b1f03aa5c7e2d4g", "-b1f03aa5c7e2d41"} {
 		if _, ok := ParseID(s); ok {
-			t.Errorf("%q is taken", s)
+			t.Errorf("%q is accepted", s)
 		}
 	}
 }
 
-// What is written can be read by any JSON parser, and by this one, unchanged.
+// Encoded lines are read back unchanged by the standard JSON parser and by this one.
 func FuzzDescriptions(f *testing.F) {
 	f.Add("v=0\r\nc=IN \"x\" \\ \x01 é", uint64(0x9b1f03aa5c7e2d41))
 	f.Fuzz(func(t *testing.T, sdp string, id uint64) {
@@ -69,18 +70,18 @@
 	})
 }
 
-// The parser takes nothing that the standard library turns down.
+// The parser accepts nothing that the standard library rejects, except for raw control characters.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"type":"release","id":"9b1f03aa5c7e2d41","fields":{"wait":"100"},"cause":34}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var m Message
 		if Parse(b, &m) == nil && !json.Valid(b) {
-			for _, c := range b { // raw control characters in a string are taken, as viewers send them
+			for _, c := range b { // raw control characters in a string are accepted, since viewers send them
 				if c < 0x20 {
 					return
 				}
 			}
-			t.Fatalf("%q is taken", b)
+			t.Fatalf("%q is accepted", b)
 		}
 	})
 }
--- a/internal/platform/proxy/config_test.go
+++ b/internal/platform/proxy/config_test.go
@@ -15,6 +15,7 @@
 	"tenants":[{"name":"a"},{"name":"b"}],"feedback":{"fields":["outstanding","x0"]},
 	"family_info":{"level_kb":[100,200.5],"ladder_worth":[0.5,1],"cells":3,"racks":1,"floor_by_class":[0,1],"top_by_class":[1,1],"scale_by_class":[1,0.7]}}}`
 
+// All parts of a configuration are read.
 func TestConfig(t *testing.T) {
 	c, err := Parse([]byte(goodConfig))
 	if err != nil {
@@ -28,7 +29,7 @@
 	}
 }
 
-// A bad configuration is told with its key.
+// The error about an invalid configuration names the key.
 func TestConfigErrors(t *testing.T) {
 	for _, f := range []struct{ was, is, key string }{
 		{`"seed":"8c1f"`, `"seed":"zz"`, "seed"},
@@ -51,16 +52,16 @@
 		}
 	}
 	if _, err := Load("/nonexistent"); err == nil {
-		t.Error("a file that is not there is taken")
+		t.Error("a missing file is accepted")
 	}
 }
 
-// Two directors of unlike settings in one process: classes, tenants, times to come back, waits and attempts of one never
-// reach the other.
+// Two directors with different settings in one process: classes, tenants, retry advice, deadlines and attempt limits of
+// one do not affect the other.
 func TestTwoDirectorsWithDifferentSettings(t *testing.T) {
 	a := startHarness(t, 2, nil)
 	b := startHarness(t, 2, func(c *Config) {
-		c.ClassIndex, c.TenantIndex = map[string]int{"gold": 0, "paid": 1}, map[string]int{"zeta": 0} // "paid" may be repeated here
+		c.ClassIndex, c.TenantIndex = map[string]int{"gold": 0, "paid": 1}, map[string]int{"zeta": 0} // "paid" is repeatable here
 		c.DeadlineMs = []float64{1000, 500}
 		c.Module.Classes[0].Semantics, c.Module.Classes[1].Semantics = headmill.AtMostOnce, headmill.Repeatable
 		c.Module.MaxRetryAfterMs, c.Module.MaxAttempts = 123, 2
@@ -78,10 +79,10 @@
 		return v, v.receive()
 	}
 	if _, e := ask(a, "paid", "acme", "3000"); e.Cause != causeError || a.stats().Attempts != 1 {
-		t.Errorf("a paid set-up of the first: %+v, %+v", e, a.stats())
+		t.Errorf("a paid set-up at the first director: %+v, %+v", e, a.stats())
 	}
 	if _, e := ask(b, "paid", "zeta", "500"); e.Cause != causeCongested || e.Fields["wait"] != "123" || b.stats().Attempts != 2 {
-		t.Errorf("a repeatable one of the second: %+v, %+v", e, b.stats())
+		t.Errorf("a repeatable set-up at the second director: %+v, %+v", e, b.stats())
 	}
 	for _, x := range []struct {
 		r                   *harness
@@ -97,7 +98,7 @@
 	}
 }
 
-// Times come from the settings; where those state none, from others of theirs.
+// Timeouts come from the settings; a missing one is derived from other settings.
 func TestTimeoutsFromTheSettings(t *testing.T) {
 	c, err := Parse([]byte(goodConfig))
 	if err != nil || c.ConnectMs != 120.5 || c.KeepAliveMs != 1.5*idleTimeoutMs || c.DrainGraceMs != 0 {
@@ -110,14 +111,14 @@
 		t.Fatalf("%+v, %v", c, err)
 	}
 	if _, err := Parse([]byte(strings.Replace(goodConfig, `"connect_timeout_ms":120.5`, `"connect_timeout_ms":0`, 1))); err == nil {
-		t.Error("a connect time-out of 0 is taken")
+		t.Error("a connect timeout of 0 is accepted")
 	}
 	if _, err := Parse([]byte(strings.Replace(goodConfig, `"categories":`, `"other":`, 1))); err == nil {
-		t.Error("no class at all is taken")
+		t.Error("settings without a class are accepted")
 	}
 }
 
-// Sessions of a media node that has vanished are given up in time for their viewers to hear, under any settings.
+// Sessions of a media node that has vanished are given up in time to notify their viewers, under any settings.
 func TestSessionLossIsReportedInTime(t *testing.T) {
 	for _, tell := range []float64{0, 100, 1250, 4500, 60000} {
 		for _, connect := range []float64{20, 250, 5000} {
@@ -128,7 +129,8 @@
 			c.Module.ReportIntervalMs, c.Module.ReportDelayMs, c.ConnectMs = tell, tell/2, connect
 			w := healthConfig(c)
 			if w.NodeTimeoutMs+2*sweepIntervalMs > releaseRetentionMs || w.NodeTimeoutMs <= w.StreamTimeoutMs || w.StreamTimeoutMs <= 0 {
-				t.Errorf("loads each %v ms, connections in %v: silent after %v, lost after %v", tell, connect, w.StreamTimeoutMs, w.NodeTimeoutMs)
+				t.Errorf("report interval %v ms, connect timeout %v ms: silent after %v ms, lost after %v ms",
+					tell, connect, w.StreamTimeoutMs, w.NodeTimeoutMs)
 			}
 		}
 	}
--- a/internal/platform/proxy/harness_test.go
+++ b/internal/platform/proxy/harness_test.go
@@ -24,9 +24,9 @@
 	"headmill/internal/platform/jsonline"
 )
 
-const testTimeout = 10 * time.Second // for what must come; a test that waits so long has failed
+const testTimeout = 10 * time.Second // for events that must happen; a test that waits longer has failed
 
-// media is one media node: what comes goes to the test, which says what is written.
+// standInNode stands in for one media node: it passes what it receives to the test, which decides what is written.
 type standInNode struct {
 	t        *testing.T
 	listener net.Listener
@@ -36,7 +36,7 @@
 	conns    []net.Conn
 }
 
-// seen is a message with the connection that it came on.
+// nodeMessage is a message that a stand-in media node received, with its connection.
 type nodeMessage struct {
 	typ              frame.Type
 	id               uint64
@@ -45,6 +45,7 @@
 	conn             net.Conn
 }
 
+// startStandInNode starts a stand-in media node.
 func startStandInNode(t *testing.T, name string) *standInNode {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -81,13 +82,13 @@
 			n.received <- nodeMessage{x.Type, x.Session, string(x.Get(frame.Class)), string(x.Get(frame.Rung)), string(x.Get(frame.SDP)), x.Cause(), c}
 			return true
 		}); err != nil {
-			n.t.Errorf("%s got what it can't read: %v", n.name, err)
+			n.t.Errorf("%s received a malformed message: %v", n.name, err)
 			return
 		}
 	}
 }
 
-// cut resets all connections.
+// resetConns resets all connections.
 func (n *standInNode) resetConns() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -98,7 +99,7 @@
 	n.conns = nil
 }
 
-// want waits for the next message of a type; others are passed over.
+// expect waits for the next message of a type; others are skipped.
 func (n *standInNode) expect(typ frame.Type) nodeMessage {
 	n.t.Helper()
 	for deadline := time.After(testTimeout); ; {
@@ -108,7 +109,7 @@
 				return s
 			}
 		case <-deadline:
-			n.t.Fatalf("%s: no message of type %d came", n.name, typ)
+			n.t.Fatalf("%s: no message of type %d received", n.name, typ)
 		}
 	}
 }
@@ -122,7 +123,7 @@
 	msg.conn.Write(frame.AppendRelease(nil, msg.id, cause))
 }
 
-// rig is a director with its media nodes, each alone in its cell; every title is held by all.
+// harness is a director with stand-in media nodes, each alone in its cell. Every title is held by all cells.
 type harness struct {
 	t       *testing.T
 	proxy   *Proxy
@@ -134,6 +135,7 @@
 	done    chan struct{} // closed once the loop has ended
 }
 
+// startHarness starts a director; change may modify its configuration first.
 func startHarness(t *testing.T, nodes int, change func(*Config)) *harness {
 	t.Helper()
 	h := &harness{t: t}
@@ -186,14 +188,14 @@
 	return h
 }
 
-// stats asks for the counters on the loop's goroutine.
+// stats reads the counters on the loop's goroutine.
 func (h *harness) stats() Stats {
 	ch := make(chan Stats, 1)
 	h.loop.Post(func() { ch <- h.proxy.stats })
 	return <-ch
 }
 
-// setup waits for a set-up at any media node.
+// expectSetup waits for a set-up at any media node.
 func (h *harness) expectSetup() (*standInNode, nodeMessage) {
 	h.t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
@@ -208,11 +210,11 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	h.t.Fatal("no set-up came to any media node")
+	h.t.Fatal("no media node received a set-up")
 	return nil, nodeMessage{}
 }
 
-// caller is one connection from viewers.
+// viewerClient is one connection from viewers.
 type viewerClient struct {
 	t      *testing.T
 	conn   net.Conn
@@ -231,18 +233,20 @@
 
 func (v *viewerClient) send(format string, a ...any) { fmt.Fprintf(v.conn, format+"\n", a...) }
 
+// sendSetup sends a set-up; extras continue after "copies:".
 func (v *viewerClient) sendSetup(id, class, extras string) {
 	v.send(`{"type":"setup","id":"%s","fields":{"class":"%s","left":"3000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:%s"},"sdp":"o\r\n\"%s\""}`,
 		id, class, extras, id)
 }
 
+// receivedLine is a line from the director.
 type receivedLine struct {
 	Type, ID, SDP string
 	Cause         int
 	Fields        map[string]string
 }
 
-// hear waits for the next line.
+// receive waits for the next line.
 func (v *viewerClient) receive() receivedLine {
 	v.t.Helper()
 	v.conn.SetReadDeadline(time.Now().Add(testTimeout))
@@ -257,13 +261,13 @@
 	return line
 }
 
-// closed waits for the connection's end; what is written before it is returned.
+// expectClosed waits for the connection's end and returns what was written before it.
 func (v *viewerClient) expectClosed() string {
 	v.t.Helper()
 	v.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	b, err := io.ReadAll(v.reader)
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		v.t.Fatal("the connection stays open")
+		v.t.Fatal("the connection was not closed")
 	}
 	return string(b)
 }
@@ -273,16 +277,18 @@
 	id2 = "00000000000000a2"
 )
 
-func (h *harness) waitFor(what string, f func(Stats) bool) {
+// waitFor waits until f is true; failure describes the state that is left otherwise.
+func (h *harness) waitFor(failure string, f func(Stats) bool) {
 	h.t.Helper()
 	for deadline := time.Now().Add(testTimeout); !f(h.stats()); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			h.t.Fatalf("%s: %+v", what, h.stats())
+			h.t.Fatalf("%s: %+v", failure, h.stats())
 		}
 	}
 }
 
-// blackHole is an address at which connections don't come up, since its queue is full, until somebody takes them.
+// fullBacklogListener returns an address at which connects do not complete until its listener accepts, since its backlog
+// is full.
 func fullBacklogListener(t *testing.T) (string, net.Listener) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -306,11 +312,11 @@
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	t.Fatal("the queue never fills")
+	t.Fatal("the backlog does not fill")
 	return "", nil
 }
 
-// takes hands the director a list of one media node.
+// setNodeList applies a node list of one media node.
 func (h *harness) setNodeList(state, addr string) {
 	h.t.Helper()
 	h.runOnLoop(func() {
@@ -322,7 +328,7 @@
 	})
 }
 
-// tells answers the director's questions from now on, as the platform's name service does.
+// serveDNS answers the director's queries from now on, as the platform's discovery service does.
 func (h *harness) serveDNS(no uint32, draining func(i int) bool) {
 	name := dnsmessage.MustNewName
 	var m dnsmessage.Message
@@ -358,25 +364,25 @@
 	}()
 }
 
-// count is how many sessions the director holds.
+// sessionCount returns the number of sessions in the table.
 func (h *harness) sessionCount() (n int) {
 	h.runOnLoop(func() { n = len(h.proxy.sessions) })
 	return n
 }
 
-// plays brings a session to stand.
+// playSession sets up a session and answers it.
 func (h *harness) playSession(v *viewerClient, id string) (*standInNode, nodeMessage) {
 	h.t.Helper()
 	v.sendSetup(id, "free", "1;top:0")
 	node, setup := h.expectSetup()
 	setup.sendAnswer("x")
 	if reply := v.receive(); reply.Type != "answer" || reply.ID != id {
-		h.t.Fatalf("not set up: %+v", reply)
+		h.t.Fatalf("the session is not set up: %+v", reply)
 	}
 	return node, setup
 }
 
-// connections waits until the director holds so many from viewers.
+// expectViewerConns waits until the director has the given number of connections from viewers.
 func (h *harness) expectViewerConns(want int) {
 	h.t.Helper()
 	h.waitFor("connections from viewers", func(Stats) bool {
@@ -386,22 +392,22 @@
 	})
 }
 
-// playing names a session that plays at a media node, as viewers do after a director's start: with a time that no
-// class has.
+// sendExistingSession names a session that already plays at a media node, as viewers do after a director's start: with a
+// time left that exceeds every class deadline.
 func (v *viewerClient) sendExistingSession(id, at string) {
 	v.send(`{"type":"setup","id":"%s","fields":{"class":"free","left":"4294967","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:1;at:%s"},"sdp":"x"}`, id, at)
 }
 
-// adopts brings a session of the start to stand at the first media node.
+// adoptSession makes the director adopt a session that plays at the first media node.
 func (h *harness) adoptSession(v *viewerClient, id string) *standInNode {
 	h.t.Helper()
 	before := h.stats().Opened
 	v.sendExistingSession(id, h.nodes[0].name)
-	h.waitFor("not taken", func(stats Stats) bool { return stats.Opened > before })
+	h.waitFor("the session is not adopted", func(stats Stats) bool { return stats.Opened > before })
 	return h.nodes[0]
 }
 
-// any waits for a connection that the director keeps there.
+// anyConn waits for a connection from the director and returns it.
 func (n *standInNode) anyConn() net.Conn {
 	n.t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -412,17 +418,18 @@
 		}
 		n.mu.Unlock()
 	}
-	n.t.Fatalf("%s: the director keeps no connection", n.name)
+	n.t.Fatalf("%s: the director has opened no connection", n.name)
 	return nil
 }
 
-// on runs f on the loop's goroutine and waits for it.
+// runOnLoop runs f on the loop's goroutine and waits for it.
 func (h *harness) runOnLoop(f func()) {
 	done := make(chan struct{})
 	h.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
+// session returns a session by its protocol id.
 func (h *harness) session(id string) (s *session) {
 	h.t.Helper()
 	no, _ := jsonline.ParseID(id)
@@ -433,14 +440,15 @@
 	return s
 }
 
-// sets plays the module's word on a rung.
+// setRung carries out an action of the module that sets a rung.
 func (h *harness) setRung(s *session, rung int) {
 	h.runOnLoop(func() {
 		h.proxy.applyModuleAction(&headmill.Action{Kind: headmill.ActSetRung, Session: s.moduleID, Rung: rung})
 	})
 }
 
-// note sends a note and waits until it has been read: the next word on the connection is answered after it.
+// sendFeedback sends feedback and waits until the director has read it: a ping after it on the same connection is
+// answered later.
 func (h *harness) sendFeedback(n *standInNode, id uint64, sort string, value float64) {
 	c := n.anyConn()
 	out, at := frame.Begin(nil, frame.Feedback, id)
@@ -450,7 +458,7 @@
 	n.expect(frame.Pong)
 }
 
-// pending waits until so many releases have not been confirmed.
+// expectUnconfirmed waits until the given number of releases is unconfirmed.
 func (h *harness) expectUnconfirmed(want int) {
 	h.t.Helper()
 	h.waitFor("releases that no viewer has confirmed", func(Stats) (ok bool) {
--- a/internal/platform/proxy/proxy_test.go
+++ b/internal/platform/proxy/proxy_test.go
@@ -13,12 +13,13 @@
 	"headmill/internal/platform/frame"
 )
 
+// A session is set up, answered and ended, with a ping beforehand.
 func TestSessionFromSetupToItsEnd(t *testing.T) {
 	h := startHarness(t, 2, nil)
 	v := h.dialViewer()
 	v.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
 	if p := v.receive(); p.Type != "pong" || p.Cause != 1 || p.ID != "x" {
-		t.Fatalf("test: %+v", p)
+		t.Fatalf("pong: %+v", p)
 	}
 	v.sendSetup(id1, "paid", "2;top:1")
 	node, setup := h.expectSetup()
@@ -31,12 +32,12 @@
 	}
 	setup.sendRelease(causeNormal)
 	if a := v.receive(); a.Type != "release" || a.ID != id1 || a.Cause != causeNormal {
-		t.Fatalf("end: %+v", a)
+		t.Fatalf("release: %+v", a)
 	}
 	node.expect(frame.Released)
 }
 
-// A session belongs to no connection: its end goes out on another one where its own is closed.
+// A session is bound to no connection: its release goes out on another one if its own is closed.
 func TestReleaseOnAnotherConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	a, b := h.dialViewer(), h.dialViewer()
@@ -50,7 +51,8 @@
 	}
 }
 
-// With no connection at all the release is kept until one comes. One whose peer confirms nothing is not relied on.
+// With no connection open, the release is kept until one opens. If a peer does not confirm it, it is repeated on another
+// connection.
 func TestReleaseIsKeptUntilAConnectionOpens(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	a := h.dialViewer()
@@ -73,7 +75,7 @@
 	h.expectUnconfirmed(0)
 }
 
-// A release that is written while its viewer closes the connection is read by nobody: it goes out again.
+// A release that is written while its viewer closes the connection is lost, so it is sent again.
 func TestReleaseWrittenToAClosingConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	a, b := h.dialViewer(), h.dialViewer()
@@ -82,7 +84,7 @@
 	s := h.session(id1)
 	h.runOnLoop(func() {
 		a.conn.Close()
-		for s.viewer.conn.Idle() { // the close has reached the machine, and the loop has not seen it
+		for s.viewer.conn.Idle() { // the close has reached the kernel, but not yet the loop
 			time.Sleep(time.Millisecond)
 		}
 		h.proxy.sessionEnded(s, headmill.Served, causeNormal, headmill.Report{})
@@ -94,7 +96,7 @@
 	h.expectUnconfirmed(0)
 }
 
-// What the module gives up is answered at once, with a time to come back.
+// A set-up that the module refuses is answered at once, with retry advice.
 func TestRefusalIsImmediateWithRetryAdvice(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -107,11 +109,12 @@
 		t.Fatalf("%+v", reply)
 	}
 	if d := time.Since(began); d > 2*time.Second {
-		t.Fatalf("after %v of 3 s: it was sat on", d)
+		t.Fatalf("refused only after %v of 3 s", d)
 	}
 }
 
-// Errors and breaks prove nothing: the paid class gets no promise, and no second attempt.
+// Errors and connection failures after the set-up was sent prove nothing: a set-up of the paid class, which may run once
+// only, fails without a second attempt.
 func TestPaidSetupThatMayHaveRunIsNeverRepeated(t *testing.T) {
 	for name, spoil := range map[string]func(*standInNode, nodeMessage){
 		"error": func(_ *standInNode, setup nodeMessage) { setup.sendRelease(causeError) },
@@ -136,11 +139,11 @@
 	}
 }
 
-// A connection that was refused proves that nothing ran: the paid set-up goes on to another media node.
+// A refused connection proves that nothing ran: the paid set-up is sent to another media node.
 func TestRefusedConnectionProvesNothingRan(t *testing.T) {
 	h := startHarness(t, 2, nil)
 	h.nodes[0].listener.Close()
-	for i := range 4 { // titles start at either
+	for i := range 4 { // titles start at either node
 		v := h.dialViewer()
 		v.sendSetup(fmt.Sprintf("%016x", 0xb0+i), "paid", "2;top:0")
 		node, setup := h.expectSetup()
@@ -154,7 +157,7 @@
 	}
 }
 
-// An answer that is not the open attempt's is passed over: an unknown id, a second copy.
+// Answers that match no pending attempt are ignored: one with an unknown id, and a duplicate.
 func TestUnexpectedAnswersAreIgnored(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -174,7 +177,7 @@
 	}
 }
 
-// A viewer that stops waiting: the media node is told, and the director forgets.
+// A viewer cancels its set-up: the director releases it at the media node and removes the session.
 func TestViewerCancelsSetup(t *testing.T) {
 	for name, leave := range map[string]func(*viewerClient){
 		"release": func(v *viewerClient) { v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1) },
@@ -190,12 +193,13 @@
 				t.Fatalf("%+v", msg)
 			}
 			setup.sendAnswer("too late")
-			h.waitFor("a session stands that nobody waits for", func(stats Stats) bool { return stats.ViewersLeft == 1 && stats.Played == 0 })
+			h.waitFor("a session plays though its viewer has left",
+				func(stats Stats) bool { return stats.ViewersLeft == 1 && stats.Played == 0 })
 		})
 	}
 }
 
-// A viewer ends a session that stands: the media node is told, its last word is not passed back.
+// A viewer ends its session: the director releases it at the media node, and does not pass the node's release back.
 func TestViewerEndsItsSession(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -208,11 +212,12 @@
 	setup.sendRelease(causeCancelled)
 	v.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
 	if reply := v.receive(); reply.Type != "pong" {
-		t.Fatalf("the viewer ended it and is told again: %+v", reply)
+		t.Fatalf("the viewer that ended the session got a release: %+v", reply)
 	}
 }
 
-// The start's sessions name a time that no class has; they are taken, and end as others do.
+// Sessions that play when the director starts come with a time left that exceeds every class deadline. They are adopted,
+// and end as others do.
 func TestAdoptedSessions(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -223,11 +228,11 @@
 	}
 	v.sendExistingSession(id2, "s-77")
 	if reply := v.receive(); reply.Type != "release" || reply.ID != id2 || reply.Cause != causeReset {
-		t.Fatalf("a session at no listed media node: %+v", reply)
+		t.Fatalf("a session at an unlisted media node: %+v", reply)
 	}
 }
 
-// A process that died cuts its sessions: viewers are told, so that they come again.
+// When a media node process dies, the viewers of its sessions get releases, so that they retry.
 func TestSessionsOfADeadMediaNode(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -239,7 +244,7 @@
 	}
 }
 
-// A connection that breaks says nothing of the sessions that stand.
+// A connection failure does not end the sessions that play.
 func TestSessionsOutliveAConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -248,13 +253,13 @@
 	v.sendSetup(id2, "free", "1;top:0")
 	_, setup2 := h.expectSetup()
 	setup2.id = 0xa1
-	setup2.sendRelease(causeNormal) // its end comes on the next connection
+	setup2.sendRelease(causeNormal) // the release of the first session comes on the next connection
 	if reply := v.receive(); reply.ID != id1 || reply.Cause != causeNormal {
 		t.Fatalf("%+v", reply)
 	}
 }
 
-// An id in use: a newcomer on another connection is turned away and harms nobody.
+// A set-up with an id in use, on another connection: it is refused, and the existing session goes on.
 func TestIDInUse(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v, rude := h.dialViewer(), h.dialViewer()
@@ -278,7 +283,7 @@
 	}
 }
 
-// Two requests under one number on one connection: neither goes on, one answer.
+// Two set-ups with one id on one connection: both end, with one answer.
 func TestDuplicateIDOnOneConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -296,7 +301,7 @@
 	}
 }
 
-// Figures that no settings know are turned down, and the connection goes on.
+// Set-ups with missing fields or invalid values are refused, and the connection stays open.
 func TestInvalidSetups(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -306,7 +311,7 @@
 		{`7f3a9c21e0b4d655`, `zz`}, {`"sdp":"x"`, `"sdp":""`}, {`,"sdp":"x"`, ``}, {`"left":"3000",`, ``}} {
 		line := strings.Replace(good, change[0], change[1], 1)
 		if line == good {
-			t.Fatalf("%v changes nothing", change)
+			t.Fatalf("%v does not occur in the set-up", change)
 		}
 		v.send("%s", line)
 		if reply := v.receive(); reply.Type != "release" || reply.Cause == causeFull || reply.Cause == causeCongested || reply.Cause == causeNeverRan {
@@ -314,11 +319,11 @@
 		}
 	}
 	if stats := h.stats(); stats.Requests != 0 || stats.Attempts != 0 {
-		t.Fatalf("a bad set-up reached the module: %+v", stats)
+		t.Fatalf("an invalid set-up reached the module: %+v", stats)
 	}
 }
 
-// What can't be read, is too long, never ends or never begins closes its connection.
+// Input that is malformed, too long, never completed or never sent closes its connection.
 func TestMalformedInputClosesConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	for name, b := range map[string]string{"noise": "\x16\x03\x01\x02\n", "too long": strings.Repeat("x", 40000),
@@ -332,7 +337,7 @@
 	}
 }
 
-// At the bound silent connections make room for those that ask.
+// At the connection limit, silent connections are closed in favour of those that send set-ups.
 func TestSilentConnectionsAreClosedAtTheLimit(t *testing.T) {
 	h := startHarness(t, 1, func(c *Config) { c.Sockets = 64 })
 	var silent []net.Conn
@@ -354,14 +359,15 @@
 	silent[0].SetReadDeadline(time.Now().Add(testTimeout))
 	_, err := silent[0].Read(make([]byte, 1))
 	if ne, ok := err.(net.Error); err == nil || ok && ne.Timeout() {
-		t.Fatalf("the first silent connection is still there: %v", err)
+		t.Fatalf("the first silent connection is still open: %v", err)
 	}
 }
 
-// A module that waits for an attempt that is never made would hold its place for good.
+// A set-up and its release arrive in one round. The module must learn that the attempt was never made: otherwise it would
+// hold the node's capacity for good.
 func TestSetupAndReleaseInOneRound(t *testing.T) {
 	h := startHarness(t, 1, nil)
-	for i := range 50 { // more than the 20 places
+	for i := range 50 { // more than the capacity of 20 streams
 		v := h.dialViewer()
 		id := fmt.Sprintf("%016x", 0xc00+i)
 		fmt.Fprintf(v.conn, `{"type":"setup","id":"%s","fields":{"class":"free","left":"3000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:0"},"sdp":"x"}`+"\n"+
@@ -384,7 +390,7 @@
 	}
 }
 
-// The name service moves: the new address is asked, and what it tells counts.
+// The discovery service moves: the new address is queried. A new address that is unusable leaves the old one in use.
 func TestReload(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	other, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -398,7 +404,7 @@
 	b := make([]byte, 512)
 	other.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, _, err := other.ReadFromUDP(b); err != nil {
-		t.Fatalf("the new address is not asked: %v", err)
+		t.Fatalf("the new address is not queried: %v", err)
 	}
 	bad := *h.cfg
 	bad.DNS = "nowhere"
@@ -406,12 +412,12 @@
 	other.SetReadDeadline(time.Now().Add(testTimeout))
 	for range 3 {
 		if _, _, err := other.ReadFromUDP(b); err != nil {
-			t.Fatalf("an address that can't be used ends the asking: %v", err)
+			t.Fatalf("an unusable address ends the queries: %v", err)
 		}
 	}
 }
 
-// A media node is its id: when its address changes, nothing more goes to where it was.
+// A media node is identified by its id: when its address changes, no set-up goes to the old address.
 func TestChangedAddress(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -430,8 +436,8 @@
 	}
 }
 
-// A session of the start plays at a rung that only its media node tells. What the module sets after that must be sent,
-// be it the lowest; what is in force already must not.
+// The rung of an adopted session is known only once its media node reports it. A rung that the module sets after that is
+// sent, even if it is the lowest; one that is already in force is not.
 func TestRungOfAdoptedSession(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -449,11 +455,11 @@
 	}
 }
 
-// A stop: what was taken is answered, the door closes, the process may end when the last session has.
+// A stop answers what was accepted, closes the listener, and completes when the last session has ended.
 func TestStop(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	v.sendExistingSession(id2, "s-77") // turned away: it must not be counted as one that waits
+	v.sendExistingSession(id2, "s-77") // refused: it must not count as pending
 	v.send(`{"type":"released","id":"%s","fields":{}}`, v.receive().ID)
 	_, setup := h.playSession(v, id1)
 	h.proxy.Stop()
@@ -461,7 +467,7 @@
 	_, setup2 := h.expectSetup()
 	setup2.sendAnswer("x")
 	if reply := v.receive(); reply.Type != "answer" {
-		t.Fatalf("taken while requests still come: %+v", reply)
+		t.Fatalf("a set-up right after the stop is not served: %+v", reply)
 	}
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		c, err := net.Dial("tcp4", h.addr)
@@ -470,12 +476,12 @@
 		}
 		c.Close()
 		if time.Now().After(deadline) {
-			t.Fatal("the door stays open")
+			t.Fatal("the listener stays open")
 		}
 	}
 	select {
 	case <-h.done:
-		t.Fatal("ended while sessions stand")
+		t.Fatal("the stop completed while sessions play")
 	default:
 	}
 	setup.sendRelease(causeNormal)
@@ -486,13 +492,13 @@
 	select {
 	case <-h.done:
 	case <-time.After(testTimeout):
-		t.Fatal("does not end after its last session")
+		t.Fatal("the stop does not complete after the last session")
 	}
 }
 
-// A set-up that is out while its media node's address changes keeps its connection, and nobody else gets it.
+// A set-up that is pending while its media node's address changes keeps its connection; that is not used for another.
 func TestChangedAddressDuringSetup(t *testing.T) {
-	h := startHarness(t, 1, func(c *Config) { c.Module.ReportIntervalMs = 1e6 }) // not to be closed for its silence
+	h := startHarness(t, 1, func(c *Config) { c.Module.ReportIntervalMs = 1e6 }) // keeps the connection from being closed as silent
 	v := h.dialViewer()
 	v.sendSetup(id1, "free", "1;top:0")
 	_, setup := h.expectSetup()
@@ -520,7 +526,7 @@
 	}
 }
 
-// A drain that is told while a set-up waits for its connection: it is not written any more.
+// A drain is announced while a set-up waits for its connection: the set-up is not written.
 func TestDrainWhileConnecting(t *testing.T) {
 	hole, ln := fullBacklogListener(t)
 	h := startHarness(t, 1, func(c *Config) { c.ConnectMs = 20000; c.Snapshot.Items[0].Roster.Hosts[0].Dial = hole })
@@ -528,7 +534,7 @@
 	v.send(`{"type":"setup","id":"%s","fields":{"class":"paid","left":"6000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:0"},"sdp":"x"}`, id1)
 	h.waitFor("no attempt", func(stats Stats) bool { return stats.Attempts == 1 })
 	h.setNodeList("draining", hole)
-	go func() { // now connections come up
+	go func() { // lets the pending connects succeed
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -536,7 +542,7 @@
 			}
 			go func() {
 				if n, _ := c.Read(make([]byte, 100)); n > 0 {
-					t.Errorf("%d bytes were written after the drain was told", n)
+					t.Errorf("%d bytes were written after the drain was announced", n)
 				}
 			}()
 		}
@@ -546,14 +552,15 @@
 	}
 }
 
-// A spoilt answer means that the session stands there and nobody knows: it is ended there, on another connection.
+// After a malformed answer the session may play unknown to its viewer: it is released at the media node, on another
+// connection.
 func TestSessionWithMalformedAnswerIsEnded(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	v.sendSetup(id1, "paid", "1;top:0")
 	node, setup := h.expectSetup()
 	setup.conn.Write([]byte{0xff, 0xff, 9})
-	go func() { // and it keeps coming
+	go func() { // keeps sending
 		for b := make([]byte, 1<<16); ; {
 			if _, err := setup.conn.Write(b); err != nil {
 				return
@@ -570,8 +577,8 @@
 	}
 }
 
-// A description that no line to a viewer can hold: the viewer is not answered with what it can't read, and the session is
-// ended at its media node.
+// A description is too long for a line to the viewer: the viewer gets a failure, and the session is ended at its media
+// node.
 func TestAnswerTooLongForALine(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -586,7 +593,7 @@
 	}
 }
 
-// What is to be told to a media node that can't be reached just now is told when it can.
+// A release for a media node that is unreachable at the moment is sent when it is reachable again.
 func TestReleaseIsSentWhenTheMediaNodeIsBack(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -596,14 +603,14 @@
 	node.resetConns()
 	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
 	v.receive()
-	h.waitFor("not ended", func(Stats) bool { return h.sessionCount() == 0 }) // the first connect has failed by then, or will
+	h.waitFor("not ended", func(Stats) bool { return h.sessionCount() == 0 }) // the first connect fails before or after
 	go node.serve(ln)
 	if msg := node.expect(frame.Release); msg.id != 0xa1 {
 		t.Fatalf("%+v", msg)
 	}
 }
 
-// A media node tells an end on its connection and again on the next one: it counts once.
+// A media node sends a release and repeats it: it counts once.
 func TestDuplicateReleaseFromMediaNode(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -617,16 +624,16 @@
 	}
 	v.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
 	if reply := v.receive(); reply.Type != "pong" {
-		t.Fatalf("told twice: %+v", reply)
+		t.Fatalf("the viewer got a second message: %+v", reply)
 	}
 }
 
-// A drain that the name service tells keeps set-ups away, through DNS on a socket.
+// A drain announced by the discovery service, over DNS on a socket, keeps set-ups away from the node.
 func TestDrainFromDiscovery(t *testing.T) {
 	h := startHarness(t, 2, nil)
 	v := h.dialViewer()
 	h.serveDNS(7, func(i int) bool { return i == 0 })
-	h.waitFor("the list is not taken", func(Stats) bool {
+	h.waitFor("the node list is not applied", func(Stats) bool {
 		var no uint64
 		h.runOnLoop(func() { no = h.proxy.nodeList.Version() })
 		return no == 7
@@ -642,7 +649,7 @@
 	}
 }
 
-// Descriptions that wait are held within a part of the memory; one more is refused at once, with a time to come back.
+// The descriptions of pending set-ups are limited to a part of the memory; one more is refused at once, with retry advice.
 func TestPendingSetupsAreBoundedInMemory(t *testing.T) {
 	h := startHarness(t, 1, func(c *Config) { c.MemoryMB = 1 })
 	v := h.dialViewer()
@@ -661,14 +668,15 @@
 	if stats := h.stats(); refused < n/2 || stats.Requests+stats.Denied != n || stats.Denied == 0 {
 		t.Fatalf("%d refused, %+v", refused, stats)
 	}
-	h.waitFor("what was held is not given back", func(Stats) bool {
+	h.waitFor("quota is not returned", func(Stats) bool {
 		var held int64
 		h.runOnLoop(func() { held = h.proxy.quotas.Usage(limits.Waiting).Used + h.proxy.quotas.Usage(limits.Sessions).Used })
 		return held == 0
 	})
 }
 
-// What has ended leaves nothing behind: ids, connections and media nodes are new all the time on a long day.
+// Ended sessions, closed connections and removed media nodes leave no state behind, or a long-running director would
+// grow without bound.
 func TestNoStateIsLeftBehind(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	node := h.nodes[0]
@@ -684,7 +692,7 @@
 			v, id := h.dialViewer(), fmt.Sprintf("%016x", 0x1000+100*round+i)
 			v.sendSetup(id, "free", "1;top:0")
 			_, setup := h.expectSetup()
-			if i%5 == 0 { // nobody waits any more
+			if i%5 == 0 { // the viewer leaves
 				v.conn.Close()
 				continue
 			}
@@ -708,14 +716,14 @@
 				}
 			}
 			if n.nodeConnCount > maxConnsPerNode {
-				out += fmt.Sprint(" links ", n.nodeConnCount)
+				out += fmt.Sprint(" node connections ", n.nodeConnCount)
 			}
 		})
 		return out
 	}
 	for deadline := time.Now().Add(testTimeout); strings.Trim(sizes(), "0 ") != ""; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("left behind: %s", sizes())
+			t.Fatalf("state left behind: %s", sizes())
 		}
 	}
 }
--- a/internal/platform/proxy/race_test.go
+++ b/internal/platform/proxy/race_test.go
@@ -15,22 +15,23 @@
 	"headmill/internal/platform/frame"
 )
 
-// Tests of two events that cross (docs/design/platform.md, "Where two events cross"). The loop is held while both happen,
-// so that the bad order comes each time.
+// Tests of races between two events (docs/design/platform.md, "Where two events cross"). The loop is blocked while both
+// happen, so that the unfavourable order occurs each time.
 
-// unseen waits until a connection's end has reached the machine; the loop, which runs this, has not seen it.
+// waitForPeerClose waits until the peer's close has reached the kernel. It runs on the loop, which has not seen it yet.
 func waitForPeerClose(t *testing.T, c *loop.Conn) {
 	for deadline := time.Now().Add(testTimeout); !c.WriteClosed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Error("the end does not come")
+			t.Error("the close does not arrive")
 			return
 		}
 	}
 }
 
+// A set-up and the close of its connection are read together: no attempt is made.
 func TestSetupAndCloseInOneRead(t *testing.T) {
 	h := startHarness(t, 1, nil)
-	for range 5 { // also where the connection to the media node stands already
+	for range 5 { // later rounds have a connection to the media node already
 		v := h.dialViewer()
 		h.expectViewerConns(1)
 		h.runOnLoop(func() {
@@ -40,16 +41,16 @@
 				for deadline := time.Now().Add(testTimeout); unreadData(x.conn) == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 				}
 			}
-			time.Sleep(5 * time.Millisecond) // the end follows its bytes on loopback; an earlier read only makes this easier
+			time.Sleep(5 * time.Millisecond) // the close follows the bytes; reading earlier only makes the test easier to pass
 		})
 		h.expectViewerConns(0)
 	}
 	if stats := h.stats(); stats.Attempts != 0 || stats.Requests != 5 || stats.ViewersLeft != 5 {
-		t.Fatalf("attempts for clients that have gone: %+v", stats)
+		t.Fatalf("attempts for viewers that have left: %+v", stats)
 	}
 }
 
-// unread tells whether bytes wait to be read: 1, else 0.
+// unreadData returns 1 if bytes wait to be read, else 0.
 func unreadData(c *loop.Conn) int {
 	if c.Idle() {
 		return 0
@@ -57,7 +58,7 @@
 	return 1
 }
 
-// While an attempt waits for its connection the viewer goes, and the loop reads both at once.
+// An attempt waits for its connection; the connection opens and the viewer leaves in one round.
 func TestCloseWhileConnecting(t *testing.T) {
 	addr, hole := fullBacklogListener(t)
 	h := startHarness(t, 1, func(c *Config) { c.ConnectMs = 60000 })
@@ -73,20 +74,20 @@
 		go node.serve(hole)
 		for deadline := time.Now().Add(testTimeout); !s.attempt.conn.conn.Established(); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Error("the connection does not come up")
+				t.Error("the connection is not established")
 				return
 			}
 		}
 	})
-	h.waitFor("the viewer's end is not seen", func(stats Stats) bool { return stats.ViewersLeft == 1 })
+	h.waitFor("the viewer's close is not noticed", func(stats Stats) bool { return stats.ViewersLeft == 1 })
 	w := h.dialViewer()
-	w.sendSetup(id2, "free", "1;top:0") // on the connection that is up: the media node has got nothing before it
+	w.sendSetup(id2, "free", "1;top:0") // on the established connection, on which nothing was sent before
 	if got := node.expect(frame.Setup); got.id != 0xa2 {
-		t.Fatalf("an attempt began after its viewer had gone: %+v", got)
+		t.Fatalf("an attempt was written after its viewer had left: %+v", got)
 	}
 }
 
-// A media node's answer and the viewer's close are read in one round: nobody knows that the session stands.
+// A media node's answer and the viewer's close are read in one round: the session is released, since no viewer knows it.
 func TestAnswerAndClose(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -108,7 +109,7 @@
 	}
 }
 
-// An answer that waits to be written when its connection ends was read by nobody.
+// The viewer connection fails before the whole answer is written: the session is released, since no viewer knows it.
 func TestAnswerThatNeverLeft(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -120,7 +121,7 @@
 	}
 }
 
-// The media node's answer is lost with its connection: what stands there is ended.
+// The media node's answer is lost with its connection: the session that may play there is released.
 func TestAnswerLostWithItsConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -135,7 +136,7 @@
 	}
 }
 
-// A connection that the machine has taken when the door closes is served.
+// A connection that the kernel has accepted before the listener closes is served.
 func TestListenerClosesAfterAnAcceptedConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	var v *viewerClient
@@ -151,11 +152,11 @@
 	}
 	if c, err := net.Dial("tcp4", h.addr); err == nil {
 		c.Close()
-		t.Fatal("the door is open still")
+		t.Fatal("the listener is still open")
 	}
 }
 
-// What still waits when a stop can wait no longer is answered, and its attempt given up.
+// Set-ups still pending at the end of a stop are answered as failed, and released at their media nodes.
 func TestStopFailsPendingSetups(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -170,7 +171,7 @@
 	}
 }
 
-// A stop waits for what is written and not taken by its peer, and for releases that nobody has confirmed.
+// A stop waits for output that its peer has not read, and for releases that no viewer has confirmed.
 func TestUnsentMessages(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -182,19 +183,20 @@
 			c.Write(big)
 		}
 		if got := h.proxy.unsentMessages(); got != 1 {
-			t.Errorf("%d unsent, want the viewer's", got)
+			t.Errorf("%d unsent, want 1: the viewer's output", got)
 		}
 	})
 	setup.sendRelease(causeNormal)
 	h.expectUnconfirmed(1)
 	h.runOnLoop(func() {
 		if got := h.proxy.unsentMessages(); got != 2 {
-			t.Errorf("%d unsent, want the release too", got)
+			t.Errorf("%d unsent, want 2: the output and the release", got)
 		}
 	})
 }
 
-// A client that leaves while its attempt waits for a connection says nothing of the media node.
+// A viewer that leaves while its attempt waits for a connection is no evidence against the media node, which goes on
+// to get attempts.
 func TestCancelledConnectDoesNotCountAgainstTheNode(t *testing.T) {
 	addr, _ := fullBacklogListener(t)
 	h := startHarness(t, 1, func(c *Config) { c.ConnectMs = 60000 })
@@ -202,13 +204,13 @@
 	for i := range 3 {
 		v := h.dialViewer()
 		v.sendSetup(id1, "free", "1;top:0")
-		h.waitFor("the media node is rested", func(stats Stats) bool { return stats.Attempts == i+1 })
+		h.waitFor("the media node gets no further attempts", func(stats Stats) bool { return stats.Attempts == i+1 })
 		v.conn.Close()
 		h.expectViewerConns(0)
 	}
 }
 
-// Idle clients hold every descriptor when the name service moves: its socket is pointed elsewhere.
+// No file descriptor is free when the discovery service moves: the existing socket is connected to the new address.
 func TestReloadWithoutADescriptor(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	other, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -226,7 +228,7 @@
 		unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(free), Max: was.Max})
 		defer unix.Setrlimit(unix.RLIMIT_NOFILE, &was)
 		if _, err := h.loop.DialPacket(other.LocalAddr().String(), func([]byte) {}); err == nil {
-			t.Error("a descriptor was left: this shows nothing")
+			t.Error("a descriptor is free: the test proves nothing")
 		}
 		if err := h.proxy.discovery.connect(other.LocalAddr().String()); err != nil {
 			t.Error(err)
@@ -234,11 +236,11 @@
 	})
 	other.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, _, err := other.ReadFromUDP(make([]byte, 512)); err != nil {
-		t.Fatalf("the new address is not asked: %v", err)
+		t.Fatalf("the new address is not queried: %v", err)
 	}
 }
 
-// A new media node has the address of one that has gone: that it answers there proves nothing for the old one's sessions.
+// A new media node gets the address of a removed one: its answers are no evidence that the old one's sessions still play.
 func TestAddressReassignedToAnotherNode(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -256,7 +258,7 @@
 	}
 }
 
-// What ends a session is written into a connection that the media node is just resetting: it comes again on another.
+// A release is written to a connection that the media node is just resetting: it is repeated on another one.
 func TestReleaseLostWithItsConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -273,7 +275,7 @@
 	}
 }
 
-// later waits until the loop's clock has moved on, and returns it.
+// waitForClock waits until the loop's clock has advanced by a few ms, and returns its time.
 func (h *harness) waitForClock() (now float64) {
 	h.runOnLoop(func() { now = h.loop.Now() })
 	for was := now; now < was+5; h.runOnLoop(func() { now = h.loop.Now() }) {
@@ -282,11 +284,11 @@
 	return now
 }
 
-// Lines that come in pieces which always end in the middle of the next one: each has its own time.
+// Every read ends in the middle of the next line: the read timeout starts anew with each line.
 func TestFragmentsAcrossLines(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	_, setup := h.playSession(v, id1) // the connection has asked
+	_, setup := h.playSession(v, id1) // so that the connection has sent a set-up
 	setup.sendRelease(causeNormal)
 	v.receive()
 	line := `{"type":"ping","id":"x","fields":{},"cause":0}` + "\n"
@@ -299,12 +301,12 @@
 	}
 	h.runOnLoop(func() {
 		if out := h.proxy.connManager.Step(first+readTimeoutMs, connmgr.Event{Kind: connmgr.Tick}, nil); len(out) > 0 {
-			t.Errorf("a line that is not yet late closes its connection: %v", out)
+			t.Errorf("a connection is closed though its line is not overdue: %v", out)
 		}
 	})
 }
 
-// The same of a media node's messages.
+// As TestFragmentsAcrossLines, for messages of a media node.
 func TestFragmentsAcrossMessages(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -319,12 +321,12 @@
 	node.expect(frame.Pong)
 	h.runOnLoop(func() {
 		if nc := h.proxy.sessions[setup.id].node.conns[0]; !nc.reader.Partial() || nc.partialSince < first {
-			t.Errorf("the rest of a message is awaited since %v, it began after %v", nc.partialSince, first)
+			t.Errorf("message is incomplete since %v, though it began after %v", nc.partialSince, first)
 		}
 	})
 }
 
-// A connection that its media node may be closing for idleness gets no set-up.
+// A connection that its media node may be about to close as idle gets no set-up.
 func TestConnectionNearIdleTimeoutIsNotUsed(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -334,11 +336,12 @@
 	})
 	v.sendSetup(id2, "free", "1;top:0")
 	if got := node.expect(frame.Setup); got.id != 0xa2 || got.conn == setup.conn {
-		t.Fatalf("%+v: a set-up crosses the close of its connection", got)
+		t.Fatalf("%+v: a set-up was sent on a connection near its idle timeout", got)
 	}
 }
 
-// A session of the start that is over since its media node has gone: the word crosses the close of its connection.
+// A viewer names a session at a media node that is no longer listed, and closes its connection: the release goes out on
+// another connection.
 func TestReleaseOfUnlistedSessionOnAClosingConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	a, b := h.dialViewer(), h.dialViewer()
@@ -357,8 +360,8 @@
 	}
 }
 
-// A connection that this side closes for idleness has delivered what was written there: nothing is told twice, and no
-// connection opened for it.
+// A connection that the director closes as idle has delivered all that was written to it: no release is repeated, and no
+// connection is opened for one.
 func TestIdleCloseRepeatsNoRelease(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -367,7 +370,7 @@
 	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
 	node.expect(frame.Release)
 	h.runOnLoop(at.closeUnusedConns)
-	h.runOnLoop(func() {}) // its end is told after the round
+	h.runOnLoop(func() {}) // Closed is called after the round
 	h.runOnLoop(func() {
 		if len(at.conns)+len(at.queue) != 0 {
 			t.Errorf("%d connections, %d messages kept", len(at.conns), len(at.queue))
@@ -375,8 +378,8 @@
 	})
 }
 
-// A session's end is lost with the connection that it was written on, while another stands: the media node tells it again
-// on the next one opened, so one has to be.
+// A media node's release is lost with the connection that it was written on, while another one is open. The media node
+// repeats it on the next connection that is opened, so the director must open one.
 func TestReleaseLostWithOneOfTwoConnections(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -385,7 +388,7 @@
 	v.sendSetup(id2, "free", "1;top:0")
 	node, setupB := h.expectSetup()
 	if setupA.conn == setupB.conn {
-		t.Fatal("two set-ups on one connection: this shows nothing")
+		t.Fatal("two set-ups on one connection: the test proves nothing")
 	}
 	setupA.sendAnswer("x")
 	v.receive()
@@ -404,9 +407,9 @@
 	out, at := frame.Begin(nil, frame.Ping, 1)
 	out = frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), at)
 	for deadline := time.Now().Add(testTimeout); fresh() == nil; time.Sleep(5 * time.Millisecond) {
-		setupB.conn.Write(out) // the other connection is heard all the time: its silence opens none
+		setupB.conn.Write(out) // keeps the other connection from counting as silent, which would open one too
 		if time.Now().After(deadline) {
-			t.Fatal("no other connection is opened")
+			t.Fatal("no further connection is opened")
 		}
 	}
 	fresh().Write(frame.AppendRelease(nil, setupA.id, causeNormal))
