--- a/internal/platform/dns/dns.go
+++ b/internal/platform/dns/dns.go
@@ -186,8 +186,8 @@
 		if len(labels) < 2 {
 			return msg, unusableAnswer("host name %s has no zone label", target)
 		}
-		entry := discovery.Entry{Name: labels[0], Addr: netip.AddrPortFrom(host.addr, service.Port).String(), State: "ready",
-			Weight: float64(service.Weight) / 10}
+		entry := discovery.Entry{Name: labels[0], Addr: netip.AddrPortFrom(host.addr, service.Port).String(),
+			State: "ready", Weight: float64(service.Weight) / 10}
 		if service.Priority != 0 {
 			entry.State = "draining"
 		}
--- a/internal/platform/frame/frame_test.go
+++ b/internal/platform/frame/frame_test.go
@@ -8,8 +8,8 @@
 
 // answer encodes an answer.
 func answer(id uint64, sdp string) []byte {
-	out, at := Begin(nil, Answer, id)
-	return End(AppendParameter(AppendParameter(out, Report, "outstanding:3"), SDP, sdp), at)
+	out, start := Begin(nil, Answer, id)
+	return End(AppendParameter(AppendParameter(out, Report, "outstanding:3"), SDP, sdp), start)
 }
 
 // Messages are read completely however the stream is split.
@@ -18,15 +18,15 @@
 	for cut := range len(stream) + 1 {
 		var r Reader
 		var got []Type
-		take := func(m *Message) bool {
-			if m.Type == Answer && (m.Session != 7 || string(m.Get(SDP)) != "v=0\r\n") ||
-				m.Type == Release && (m.Session != 1<<63 || m.Cause() != 41) {
-				t.Fatalf("cut at %d: %+v", cut, m)
+		check := func(msg *Message) bool {
+			if msg.Type == Answer && (msg.Session != 7 || string(msg.Get(SDP)) != "v=0\r\n") ||
+				msg.Type == Release && (msg.Session != 1<<63 || msg.Cause() != 41) {
+				t.Fatalf("cut at %d: %+v", cut, msg)
 			}
-			got = append(got, m.Type)
+			got = append(got, msg.Type)
 			return true
 		}
-		if err := errors.Join(r.Feed(stream[:cut], take), r.Feed(stream[cut:], take)); err != nil || len(got) != 2 || r.Partial() {
+		if err := errors.Join(r.Feed(stream[:cut], check), r.Feed(stream[cut:], check)); err != nil || len(got) != 2 || r.Partial() {
 			t.Fatalf("cut at %d: %v, %v, partial %v", cut, got, err, r.Partial())
 		}
 	}
@@ -36,9 +36,9 @@
 func TestMalformedMessages(t *testing.T) {
 	good := answer(7, "v=0\r\n")
 	change := func(at int, b ...byte) []byte {
-		c := bytes.Clone(good)
-		copy(c[at:], b)
-		return c
+		changed := bytes.Clone(good)
+		copy(changed[at:], b)
+		return changed
 	}
 	for name, b := range map[string][]byte{
 		"length over the limit":      {0xff, 0xff},
@@ -58,7 +58,7 @@
 		}(),
 	} {
 		var r Reader
-		err := r.Feed(b, func(m *Message) bool { t.Errorf("%s: accepted as %+v", name, m); return true })
+		err := r.Feed(b, func(msg *Message) bool { t.Errorf("%s: accepted as %+v", name, msg); return true })
 		if !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/platform/jsonline/jsonline.go
+++ b/internal/platform/jsonline/jsonline.go
@@ -59,7 +59,8 @@
 
 // skipSpace skips white space.
 func (p *parser) skipSpace() {
-	for p.pos < len(p.data) && (p.data[p.pos] == ' ' || p.data[p.pos] == '\t' || p.data[p.pos] == '\r' || p.data[p.pos] == '\n') {
+	for p.pos < len(p.data) &&
+		(p.data[p.pos] == ' ' || p.data[p.pos] == '\t' || p.data[p.pos] == '\r' || p.data[p.pos] == '\n') {
 		p.pos++
 	}
 }
--- a/internal/platform/jsonline/jsonline_test.go
+++ b/internal/platform/jsonline/jsonline_test.go
@@ -10,19 +10,19 @@
 
 // A set-up with escapes, a number as a field and an unknown member is read.
 func TestSetup(t *testing.T) {
-	var m Message
+	var msg Message
 	err := Parse([]byte(`{"type":"setup","id":"9b1f03aa5c7e2d41","new":[1,{"a":null}],"fields":{"class":"paid","left":1500,`+
-		`"extras":"home:4;copies:3"},"sdp":"9d\r\nc=\u00e9\ud83d\ude00\/\"\n"}`+"\r\n"), &m)
+		`"extras":"home:4;copies:3"},"sdp":"9d\r\nc=\u00e9\ud83d\ude00\/\"\n"}`+"\r\n"), &msg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	id, ok := ParseID(m.ID)
-	left, _ := m.Get("left")
-	if m.Type != "setup" || !ok || id != 0x9b1f03aa5c7e2d41 || left != "1500" || m.Cause != -1 ||
-		m.SDP != "9d\r\nc=é😀/\"\n" || !m.HasSDP {
-		t.Fatalf("%+v", m)
+	id, ok := ParseID(msg.ID)
+	left, _ := msg.Get("left")
+	if msg.Type != "setup" || !ok || id != 0x9b1f03aa5c7e2d41 || left != "1500" || msg.Cause != -1 ||
+		msg.SDP != "9d\r\nc=é😀/\"\n" || !msg.HasSDP {
+		t.Fatalf("%+v", msg)
 	}
-	if _, there := m.Get("tenant"); there {
+	if _, found := msg.Get("tenant"); found {
 		t.Fatal("an absent field was found")
 	}
 }
@@ -35,8 +35,8 @@
 		`{"type":"a","sdp":"no end}`, `{"type":"a","y":` + strings.Repeat("[", 100) + strings.Repeat("]", 100) + "}",
 		`{"type":"a",}`, `{"type" "a"}`, `{"type":"a","y":+1}`, `{"type":"a","y":01}`, `{"type":"a","y":1.}`,
 		`{"type":"a","y":1e}`, `{"type":"a","y":-}`, `{"type":"a","y":.5}`} {
-		var m Message
-		if err := Parse([]byte(line), &m); !errors.Is(err, ErrMalformed) {
+		var msg Message
+		if err := Parse([]byte(line), &msg); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%q: %v", line, err)
 		}
 	}
@@ -59,13 +59,13 @@
 		}
 		line := AppendAnswer(nil, id, []byte(sdp))
 		var std struct{ Type, ID, SDP string }
-		var m Message
-		if err := errors.Join(json.Unmarshal(line, &std), Parse(line, &m)); err != nil {
+		var msg Message
+		if err := errors.Join(json.Unmarshal(line, &std), Parse(line, &msg)); err != nil {
 			t.Fatalf("%q: %v", line, err)
 		}
-		got, ok := ParseID(m.ID)
-		if std.SDP != sdp || m.SDP != sdp || !ok || got != id || std.ID != m.ID || strings.Count(string(line), "\n") != 1 {
-			t.Fatalf("%q became %q and %q", sdp, std.SDP, m.SDP)
+		got, ok := ParseID(msg.ID)
+		if std.SDP != sdp || msg.SDP != sdp || !ok || got != id || std.ID != msg.ID || strings.Count(string(line), "\n") != 1 {
+			t.Fatalf("%q became %q and %q", sdp, std.SDP, msg.SDP)
 		}
 	})
 }
@@ -74,8 +74,8 @@
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"type":"release","id":"9b1f03aa5c7e2d41","fields":{"wait":"100"},"cause":34}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var m Message
-		if Parse(b, &m) == nil && !json.Valid(b) {
+		var msg Message
+		if Parse(b, &msg) == nil && !json.Valid(b) {
 			for _, c := range b { // raw control characters in a string are accepted, since viewers send them
 				if c < 0x20 {
 					return
@@ -87,14 +87,14 @@
 }
 
 func TestReleaseCarriesRetryAdvice(t *testing.T) {
-	var m Message
-	if err := Parse(AppendRelease(nil, 1, 42, 999.6), &m); err != nil {
+	var msg Message
+	if err := Parse(AppendRelease(nil, 1, 42, 999.6), &msg); err != nil {
 		t.Fatal(err)
 	}
-	if w, _ := m.Get("wait"); w != "1000" || m.Cause != 42 {
-		t.Fatalf("%+v", m)
+	if wait, _ := msg.Get("wait"); wait != "1000" || msg.Cause != 42 {
+		t.Fatalf("%+v", msg)
 	}
-	if err := Parse(AppendRelease(nil, 1, 47, 0), &m); err != nil || len(m.Fields) != 0 {
-		t.Fatalf("%+v, %v", m, err)
+	if err := Parse(AppendRelease(nil, 1, 47, 0), &msg); err != nil || len(msg.Fields) != 0 {
+		t.Fatalf("%+v, %v", msg, err)
 	}
 }
--- a/internal/platform/proxy/config.go
+++ b/internal/platform/proxy/config.go
@@ -74,7 +74,8 @@
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	cfg := &Config{Name: file.Name, Listen: file.Listen, DNS: file.DNS, Sockets: file.Limits.Sockets,
-		MemoryMB: file.Limits.MemoryMB, Cores: file.Limits.Cores, ClassIndex: map[string]int{}, TenantIndex: map[string]int{}}
+		MemoryMB: file.Limits.MemoryMB, Cores: file.Limits.Cores,
+		ClassIndex: map[string]int{}, TenantIndex: map[string]int{}}
 	var err error
 	if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %q is not a hexadecimal 64-bit number", file.Seed)
--- a/internal/platform/proxy/config_test.go
+++ b/internal/platform/proxy/config_test.go
@@ -17,21 +17,23 @@
 
 // All parts of a configuration are read.
 func TestConfig(t *testing.T) {
-	c, err := Parse([]byte(goodConfig))
+	cfg, err := Parse([]byte(goodConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &c.Module
-	if c.Seed != 0x8c1f || c.ConnectMs != 120.5 || c.Sockets != 256 || c.Cores != 0.5 || c.ClassIndex["free"] != 1 || c.TenantIndex["b"] != 1 ||
-		c.DeadlineMs[1] != 5000 || c.Vocabulary.Zones[1] != "west" || c.Vocabulary.Kinds[1] != "big" || len(c.ReportFields) != 2 ||
-		m.Self != 1 || m.Fronts != 3 || m.RateKB[1] != 200.5 || m.Classes[1].MinRung != 1 || m.Classes[1].RateScale != 0.7 {
-		t.Fatalf("%+v", c)
+	module := &cfg.Module
+	if cfg.Seed != 0x8c1f || cfg.ConnectMs != 120.5 || cfg.Sockets != 256 || cfg.Cores != 0.5 ||
+		cfg.ClassIndex["free"] != 1 || cfg.TenantIndex["b"] != 1 || cfg.DeadlineMs[1] != 5000 ||
+		cfg.Vocabulary.Zones[1] != "west" || cfg.Vocabulary.Kinds[1] != "big" || len(cfg.ReportFields) != 2 ||
+		module.Self != 1 || module.Fronts != 3 || module.RateKB[1] != 200.5 ||
+		module.Classes[1].MinRung != 1 || module.Classes[1].RateScale != 0.7 {
+		t.Fatalf("%+v", cfg)
 	}
 }
 
 // The error about an invalid configuration names the key.
 func TestConfigErrors(t *testing.T) {
-	for _, f := range []struct{ was, is, key string }{
+	for _, test := range []struct{ old, replacement, key string }{
 		{`"seed":"8c1f"`, `"seed":"zz"`, "seed"},
 		{`"listen":"127.0.0.1:0"`, `"listen":""`, "listen"},
 		{`"dns":"127.0.0.1:53"`, `"dns":""`, "dns"},
@@ -46,9 +48,9 @@
 		{`"level_kb":[100,200.5]`, `"level_kb":[]`, "RateKB"},
 		{`"settings":{`, `"settings":[{`, "configuration"},
 	} {
-		text := strings.Replace(goodConfig, f.was, f.is, 1)
-		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), f.key) {
-			t.Errorf("%s: %v, want an error that names %s", f.is, err, f.key)
+		text := strings.Replace(goodConfig, test.old, test.replacement, 1)
+		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), test.key) {
+			t.Errorf("%s: %v, want an error that names %s", test.replacement, err, test.key)
 		}
 	}
 	if _, err := Load("/nonexistent"); err == nil {
@@ -59,56 +61,59 @@
 // Two directors with different settings in one process: classes, tenants, retry advice, deadlines and attempt limits of
 // one do not affect the other.
 func TestTwoDirectorsWithDifferentSettings(t *testing.T) {
-	a := startHarness(t, 2, nil)
-	b := startHarness(t, 2, func(c *Config) {
-		c.ClassIndex, c.TenantIndex = map[string]int{"gold": 0, "paid": 1}, map[string]int{"zeta": 0} // "paid" is repeatable here
-		c.DeadlineMs = []float64{1000, 500}
-		c.Module.Classes[0].Semantics, c.Module.Classes[1].Semantics = headmill.AtMostOnce, headmill.Repeatable
-		c.Module.MaxRetryAfterMs, c.Module.MaxAttempts = 123, 2
+	first := startHarness(t, 2, nil)
+	second := startHarness(t, 2, func(cfg *Config) {
+		cfg.ClassIndex, cfg.TenantIndex = map[string]int{"gold": 0, "paid": 1}, map[string]int{"zeta": 0}
+		cfg.DeadlineMs = []float64{1000, 500}
+		// The paid class is repeatable here.
+		cfg.Module.Classes[0].Semantics, cfg.Module.Classes[1].Semantics = headmill.AtMostOnce, headmill.Repeatable
+		cfg.Module.MaxRetryAfterMs, cfg.Module.MaxAttempts = 123, 2
 	})
-	ask := func(r *harness, class, tenant, left string) (*viewerClient, receivedLine) {
-		v := r.dialViewer()
+	sendSetup := func(h *harness, class, tenant, left string) (*viewerClient, receivedLine) {
+		v := h.dialViewer()
 		v.send(`{"type":"setup","id":"%s","fields":{"class":"%s","left":"%s","tenant":"%s","key":"7f3a9c21e0b4d655","extras":"home:0;copies:2;top:0"},"sdp":"x"}`,
 			id1, class, left, tenant)
-		_, setup := r.expectSetup()
+		_, setup := h.expectSetup()
 		setup.sendRelease(causeError)
-		if class == "paid" && r == b { // the second of its two attempts
-			_, setup = r.expectSetup()
+		if class == "paid" && h == second { // the second of its two attempts
+			_, setup = h.expectSetup()
 			setup.sendRelease(causeError)
 		}
 		return v, v.receive()
 	}
-	if _, e := ask(a, "paid", "acme", "3000"); e.Cause != causeError || a.stats().Attempts != 1 {
-		t.Errorf("a paid set-up at the first director: %+v, %+v", e, a.stats())
+	if _, reply := sendSetup(first, "paid", "acme", "3000"); reply.Cause != causeError || first.stats().Attempts != 1 {
+		t.Errorf("a paid set-up at the first director: %+v, %+v", reply, first.stats())
 	}
-	if _, e := ask(b, "paid", "zeta", "500"); e.Cause != causeCongested || e.Fields["wait"] != "123" || b.stats().Attempts != 2 {
-		t.Errorf("a repeatable set-up at the second director: %+v, %+v", e, b.stats())
+	if _, reply := sendSetup(second, "paid", "zeta", "500"); reply.Cause != causeCongested ||
+		reply.Fields["wait"] != "123" || second.stats().Attempts != 2 {
+		t.Errorf("a repeatable set-up at the second director: %+v, %+v", reply, second.stats())
 	}
-	for _, x := range []struct {
-		r                   *harness
+	for _, test := range []struct {
+		director            *harness
 		class, tenant, left string
-	}{{a, "gold", "acme", "500"}, {a, "paid", "zeta", "500"}, {b, "free", "zeta", "500"}, {b, "paid", "acme", "500"},
-		{b, "paid", "zeta", "3000"}} {
-		v := x.r.dialViewer()
+	}{{first, "gold", "acme", "500"}, {first, "paid", "zeta", "500"},
+		{second, "free", "zeta", "500"}, {second, "paid", "acme", "500"}, {second, "paid", "zeta", "3000"}} {
+		v := test.director.dialViewer()
 		v.send(`{"type":"setup","id":"%s","fields":{"class":"%s","left":"%s","tenant":"%s","key":"7f3a9c21e0b4d655","extras":"home:0;copies:2;top:0"},"sdp":"x"}`,
-			id2, x.class, x.left, x.tenant)
+			id2, test.class, test.left, test.tenant)
 		if reply := v.receive(); reply.Type != "release" || reply.Cause != causeInvalidField {
-			t.Errorf("%s of %s within %s ms: %+v", x.class, x.tenant, x.left, reply)
+			t.Errorf("%s of %s within %s ms: %+v", test.class, test.tenant, test.left, reply)
 		}
 	}
 }
 
 // Timeouts come from the settings; a missing one is derived from other settings.
 func TestTimeoutsFromTheSettings(t *testing.T) {
-	c, err := Parse([]byte(goodConfig))
-	if err != nil || c.ConnectMs != 120.5 || c.KeepAliveMs != 1.5*idleTimeoutMs || c.DrainGraceMs != 0 {
-		t.Fatalf("%+v, %v", c, err)
+	cfg, err := Parse([]byte(goodConfig))
+	if err != nil || cfg.ConnectMs != 120.5 || cfg.KeepAliveMs != 1.5*idleTimeoutMs || cfg.DrainGraceMs != 0 {
+		t.Fatalf("%+v, %v", cfg, err)
 	}
 	text := strings.Replace(goodConfig, `"connect_timeout_ms":120.5`, `"keepalive_ms":15000`, 1)
 	text = strings.Replace(text, `"tenants"`, `"safety":{"drain_grace_ms":400,"tip_after_ms":1500},"tenants"`, 1)
-	c, err = Parse([]byte(text))
-	if err != nil || c.ConnectMs != 750 || c.KeepAliveMs != 15000 || c.DrainGraceMs != 400 || c.Module.ColdWindowMs != 1500 {
-		t.Fatalf("%+v, %v", c, err)
+	cfg, err = Parse([]byte(text))
+	if err != nil || cfg.ConnectMs != 750 || cfg.KeepAliveMs != 15000 || cfg.DrainGraceMs != 400 ||
+		cfg.Module.ColdWindowMs != 1500 {
+		t.Fatalf("%+v, %v", cfg, err)
 	}
 	if _, err := Parse([]byte(strings.Replace(goodConfig, `"connect_timeout_ms":120.5`, `"connect_timeout_ms":0`, 1))); err == nil {
 		t.Error("a connect timeout of 0 is accepted")
@@ -120,17 +125,18 @@
 
 // Sessions of a media node that has vanished are given up in time to notify their viewers, under any settings.
 func TestSessionLossIsReportedInTime(t *testing.T) {
-	for _, tell := range []float64{0, 100, 1250, 4500, 60000} {
-		for _, connect := range []float64{20, 250, 5000} {
-			c, err := Parse([]byte(goodConfig))
+	for _, intervalMs := range []float64{0, 100, 1250, 4500, 60000} {
+		for _, connectMs := range []float64{20, 250, 5000} {
+			cfg, err := Parse([]byte(goodConfig))
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.Module.ReportIntervalMs, c.Module.ReportDelayMs, c.ConnectMs = tell, tell/2, connect
-			w := healthConfig(c)
-			if w.NodeTimeoutMs+2*sweepIntervalMs > releaseRetentionMs || w.NodeTimeoutMs <= w.StreamTimeoutMs || w.StreamTimeoutMs <= 0 {
+			cfg.Module.ReportIntervalMs, cfg.Module.ReportDelayMs, cfg.ConnectMs = intervalMs, intervalMs/2, connectMs
+			monitor := healthConfig(cfg)
+			if monitor.NodeTimeoutMs+2*sweepIntervalMs > releaseRetentionMs ||
+				monitor.NodeTimeoutMs <= monitor.StreamTimeoutMs || monitor.StreamTimeoutMs <= 0 {
 				t.Errorf("report interval %v ms, connect timeout %v ms: silent after %v ms, lost after %v ms",
-					tell, connect, w.StreamTimeoutMs, w.NodeTimeoutMs)
+					intervalMs, connectMs, monitor.StreamTimeoutMs, monitor.NodeTimeoutMs)
 			}
 		}
 	}
--- a/internal/platform/proxy/harness_test.go
+++ b/internal/platform/proxy/harness_test.go
@@ -59,27 +59,28 @@
 
 func (n *standInNode) serve(ln net.Listener) {
 	for {
-		c, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		n.mu.Lock()
-		n.conns = append(n.conns, c)
+		n.conns = append(n.conns, conn)
 		n.mu.Unlock()
-		go n.read(c)
+		go n.read(conn)
 	}
 }
 
-func (n *standInNode) read(c net.Conn) {
+func (n *standInNode) read(conn net.Conn) {
 	var r frame.Reader
-	b := make([]byte, 4096)
+	buf := make([]byte, 4096)
 	for {
-		size, err := c.Read(b)
+		size, err := conn.Read(buf)
 		if err != nil {
 			return
 		}
-		if err := r.Feed(b[:size], func(x *frame.Message) bool {
-			n.received <- nodeMessage{x.Type, x.Session, string(x.Get(frame.Class)), string(x.Get(frame.Rung)), string(x.Get(frame.SDP)), x.Cause(), c}
+		if err := r.Feed(buf[:size], func(msg *frame.Message) bool {
+			n.received <- nodeMessage{msg.Type, msg.Session, string(msg.Get(frame.Class)), string(msg.Get(frame.Rung)),
+				string(msg.Get(frame.SDP)), msg.Cause(), conn}
 			return true
 		}); err != nil {
 			n.t.Errorf("%s received a malformed message: %v", n.name, err)
@@ -92,9 +93,9 @@
 func (n *standInNode) resetConns() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, c := range n.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+	for _, conn := range n.conns {
+		conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
 	}
 	n.conns = nil
 }
@@ -104,9 +105,9 @@
 	n.t.Helper()
 	for deadline := time.After(testTimeout); ; {
 		select {
-		case s := <-n.received:
-			if s.typ == typ {
-				return s
+		case msg := <-n.received:
+			if msg.typ == typ {
+				return msg
 			}
 		case <-deadline:
 			n.t.Fatalf("%s: no message of type %d received", n.name, typ)
@@ -115,8 +116,8 @@
 }
 
 func (msg nodeMessage) sendAnswer(sdp string) {
-	out, at := frame.Begin(nil, frame.Answer, msg.id)
-	msg.conn.Write(frame.End(frame.AppendParameter(out, frame.SDP, sdp), at))
+	out, start := frame.Begin(nil, frame.Answer, msg.id)
+	msg.conn.Write(frame.End(frame.AppendParameter(out, frame.SDP, sdp), start))
 }
 
 func (msg nodeMessage) sendRelease(cause byte) {
@@ -190,9 +191,9 @@
 
 // stats reads the counters on the loop's goroutine.
 func (h *harness) stats() Stats {
-	ch := make(chan Stats, 1)
-	h.loop.Post(func() { ch <- h.proxy.stats })
-	return <-ch
+	stats := make(chan Stats, 1)
+	h.loop.Post(func() { stats <- h.proxy.stats })
+	return <-stats
 }
 
 // expectSetup waits for a set-up at any media node.
@@ -223,12 +224,12 @@
 
 func (h *harness) dialViewer() *viewerClient {
 	h.t.Helper()
-	c, err := net.Dial("tcp4", h.addr)
+	conn, err := net.Dial("tcp4", h.addr)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.t.Cleanup(func() { c.Close() })
-	return &viewerClient{h.t, c, bufio.NewReader(c)}
+	h.t.Cleanup(func() { conn.Close() })
+	return &viewerClient{h.t, conn, bufio.NewReader(conn)}
 }
 
 func (v *viewerClient) send(format string, a ...any) { fmt.Fprintf(v.conn, format+"\n", a...) }
@@ -266,7 +267,7 @@
 	v.t.Helper()
 	v.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	b, err := io.ReadAll(v.reader)
-	if ne, ok := err.(net.Error); ok && ne.Timeout() {
+	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
 		v.t.Fatal("the connection was not closed")
 	}
 	return string(b)
@@ -306,11 +307,11 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	for range 20 {
-		c, err := net.DialTimeout("tcp4", ln.Addr().String(), 200*time.Millisecond)
+		conn, err := net.DialTimeout("tcp4", ln.Addr().String(), 200*time.Millisecond)
 		if err != nil {
 			return ln.Addr().String(), ln
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { conn.Close() })
 	}
 	t.Fatal("the backlog does not fill")
 	return "", nil
@@ -320,8 +321,8 @@
 func (h *harness) setNodeList(state, addr string) {
 	h.t.Helper()
 	h.runOnLoop(func() {
-		err := h.proxy.applyNodeList(&discovery.Message{Version: h.proxy.nodeList.Version() + 1, Full: true, Entries: []discovery.Entry{{Name: "s-0", Addr: addr,
-			State: state, Weight: 1}}})
+		err := h.proxy.applyNodeList(&discovery.Message{Version: h.proxy.nodeList.Version() + 1, Full: true,
+			Entries: []discovery.Entry{{Name: "s-0", Addr: addr, State: state, Weight: 1}}})
 		if err != nil {
 			h.t.Error(err)
 		}
@@ -329,35 +330,36 @@
 }
 
 // serveDNS answers the director's queries from now on, as the platform's discovery service does.
-func (h *harness) serveDNS(no uint32, draining func(i int) bool) {
+func (h *harness) serveDNS(serial uint32, draining func(i int) bool) {
 	name := dnsmessage.MustNewName
-	var m dnsmessage.Message
-	add := func(part *[]dnsmessage.Resource, n string, body dnsmessage.ResourceBody) {
-		*part = append(*part, dnsmessage.Resource{Header: dnsmessage.ResourceHeader{Name: name(n), Class: dnsmessage.ClassINET}, Body: body})
+	var answer dnsmessage.Message
+	add := func(section *[]dnsmessage.Resource, owner string, body dnsmessage.ResourceBody) {
+		*section = append(*section, dnsmessage.Resource{
+			Header: dnsmessage.ResourceHeader{Name: name(owner), Class: dnsmessage.ClassINET}, Body: body})
 	}
-	for i, x := range h.nodes {
-		host, at := x.name+".east.hosts.", x.listener.Addr().(*net.TCPAddr)
-		srv := &dnsmessage.SRVResource{Weight: 10, Port: uint16(at.Port), Target: name(host)}
+	for i, node := range h.nodes {
+		host, addr := node.name+".east.hosts.", node.listener.Addr().(*net.TCPAddr)
+		srv := &dnsmessage.SRVResource{Weight: 10, Port: uint16(addr.Port), Target: name(host)}
 		if draining(i) {
 			srv.Priority = 1
 		}
-		add(&m.Answers, serviceName, srv)
-		add(&m.Additionals, host, &dnsmessage.AResource{A: [4]byte(at.IP.To4())})
-		add(&m.Additionals, host, &dnsmessage.TXTResource{TXT: []string{"kind=std", fmt.Sprint("cell=", i), "started=0"}})
+		add(&answer.Answers, serviceName, srv)
+		add(&answer.Additionals, host, &dnsmessage.AResource{A: [4]byte(addr.IP.To4())})
+		add(&answer.Additionals, host, &dnsmessage.TXTResource{TXT: []string{"kind=std", fmt.Sprint("cell=", i), "started=0"}})
 	}
-	add(&m.Authorities, "svc.local.", &dnsmessage.SOAResource{NS: name("ns."), MBox: name("m."), Serial: no})
+	add(&answer.Authorities, "svc.local.", &dnsmessage.SOAResource{NS: name("ns."), MBox: name("m."), Serial: serial})
 	go func() {
-		for b := make([]byte, 512); ; {
-			n, from, err := h.dnsConn.ReadFromUDP(b)
+		for buf := make([]byte, 512); ; {
+			size, from, err := h.dnsConn.ReadFromUDP(buf)
 			if err != nil {
 				return
 			}
-			var q dnsmessage.Message
-			if q.Unpack(b[:n]) != nil {
+			var query dnsmessage.Message
+			if query.Unpack(buf[:size]) != nil {
 				continue
 			}
-			m.Header = dnsmessage.Header{ID: q.ID, Response: true}
-			if out, err := m.Pack(); err == nil {
+			answer.Header = dnsmessage.Header{ID: query.ID, Response: true}
+			if out, err := answer.Pack(); err == nil {
 				h.dnsConn.WriteToUDP(out, from)
 			}
 		}
@@ -365,9 +367,9 @@
 }
 
 // sessionCount returns the number of sessions in the table.
-func (h *harness) sessionCount() (n int) {
-	h.runOnLoop(func() { n = len(h.proxy.sessions) })
-	return n
+func (h *harness) sessionCount() (count int) {
+	h.runOnLoop(func() { count = len(h.proxy.sessions) })
+	return count
 }
 
 // playSession sets up a session and answers it.
@@ -386,16 +388,17 @@
 func (h *harness) expectViewerConns(want int) {
 	h.t.Helper()
 	h.waitFor("connections from viewers", func(Stats) bool {
-		ch := make(chan int, 1)
-		h.loop.Post(func() { ch <- h.proxy.connManager.Len() })
-		return <-ch == want
+		count := make(chan int, 1)
+		h.loop.Post(func() { count <- h.proxy.connManager.Len() })
+		return <-count == want
 	})
 }
 
 // sendExistingSession names a session that already plays at a media node, as viewers do after a director's start: with a
 // time left that exceeds every class deadline.
-func (v *viewerClient) sendExistingSession(id, at string) {
-	v.send(`{"type":"setup","id":"%s","fields":{"class":"free","left":"4294967","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:1;at:%s"},"sdp":"x"}`, id, at)
+func (v *viewerClient) sendExistingSession(id, nodeName string) {
+	v.send(`{"type":"setup","id":"%s","fields":{"class":"free","left":"4294967","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:1;at:%s"},"sdp":"x"}`,
+		id, nodeName)
 }
 
 // adoptSession makes the director adopt a session that plays at the first media node.
@@ -430,14 +433,14 @@
 }
 
 // session returns a session by its protocol id.
-func (h *harness) session(id string) (s *session) {
+func (h *harness) session(id string) (found *session) {
 	h.t.Helper()
-	no, _ := jsonline.ParseID(id)
-	h.runOnLoop(func() { s = h.proxy.sessions[no] })
-	if s == nil {
+	sessionID, _ := jsonline.ParseID(id)
+	h.runOnLoop(func() { found = h.proxy.sessions[sessionID] })
+	if found == nil {
 		h.t.Fatalf("no session %s", id)
 	}
-	return s
+	return found
 }
 
 // setRung carries out an action of the module that sets a rung.
@@ -449,12 +452,13 @@
 
 // sendFeedback sends feedback and waits until the director has read it: a ping after it on the same connection is
 // answered later.
-func (h *harness) sendFeedback(n *standInNode, id uint64, sort string, value float64) {
-	c := n.anyConn()
-	out, at := frame.Begin(nil, frame.Feedback, id)
-	out = frame.End(frame.AppendParameter(frame.AppendParameter(out, frame.FeedbackKind, sort), frame.FeedbackValue, fmt.Sprint(value)), at)
-	out, at = frame.Begin(out, frame.Ping, id)
-	c.Write(frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), at))
+func (h *harness) sendFeedback(n *standInNode, id uint64, kind string, value float64) {
+	conn := n.anyConn()
+	out, start := frame.Begin(nil, frame.Feedback, id)
+	out = frame.End(frame.AppendParameter(frame.AppendParameter(out, frame.FeedbackKind, kind),
+		frame.FeedbackValue, fmt.Sprint(value)), start)
+	out, start = frame.Begin(out, frame.Ping, id)
+	conn.Write(frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), start))
 	n.expect(frame.Pong)
 }
 
--- a/internal/platform/proxy/medianode.go
+++ b/internal/platform/proxy/medianode.go
@@ -405,7 +405,8 @@
 	for _, nc := range slices.Clone(n.conns) {
 		if nc.reader.Partial() && now-nc.partialSince > partialMessageTimeoutMs {
 			nc.closeMalformed(errors.New("timeout while waiting for the rest of a message"))
-		} else if nc.established && len(nc.attempts)+len(n.sessions) == 0 && nc.conn.Pending() == 0 && nc.nearIdleTimeout() {
+		} else if nc.established && len(nc.attempts)+len(n.sessions) == 0 &&
+			nc.conn.Pending() == 0 && nc.nearIdleTimeout() {
 			n.removeConn(nc)
 			nc.conn.Close(loop.ErrClosedByOwner)
 		}
--- a/internal/platform/proxy/proxy.go
+++ b/internal/platform/proxy/proxy.go
@@ -21,8 +21,8 @@
 //	                                                            ended: refused, failed or given up by its viewer
 //	statePlaying  the session plays at its media node           ending: its viewer ends it;
 //	                                                            ended: the media node ends it or is lost
-//	stateEnding   its viewer has ended it; the media node's     ended: that release has come, or endConfirmMs have passed
-//	              release is awaited
+//	stateEnding   its viewer has ended it; the media node's     ended: that release has come,
+//	              release is awaited                            or endConfirmMs have passed
 //	stateEnded    removed from the session table                -
 package proxy
 
@@ -186,8 +186,8 @@
 		silence = slices.Max(cfg.DeadlineMs)
 	}
 	silence = math.Min(silence, releaseRetentionMs/2)
-	return health.Config{StreamTimeoutMs: silence, NodeTimeoutMs: silence + math.Min(3*cfg.ConnectMs, releaseRetentionMs/4),
-		MinRetryMs: cfg.ConnectMs / 4, MaxRetryMs: 2 * cfg.ConnectMs, IdleTimeoutMs: cfg.KeepAliveMs / 3,
+	return health.Config{StreamTimeoutMs: silence,
+		NodeTimeoutMs: silence + math.Min(3*cfg.ConnectMs, releaseRetentionMs/4), MinRetryMs: cfg.ConnectMs / 4, MaxRetryMs: 2 * cfg.ConnectMs, IdleTimeoutMs: cfg.KeepAliveMs / 3,
 		OpenTimeoutMs: cfg.ConnectMs + sweepIntervalMs/2}
 }
 
@@ -311,7 +311,9 @@
 		}
 	case headmill.ActTimer:
 		timer := action.Timer
-		p.loop.At(action.AtMs-p.unixOffsetMs, func() { p.queueEvent(headmill.Event{Kind: headmill.EvTimer, Timer: timer}) })
+		p.loop.At(action.AtMs-p.unixOffsetMs, func() {
+			p.queueEvent(headmill.Event{Kind: headmill.EvTimer, Timer: timer})
+		})
 	case headmill.ActSubscribe: // nothing to do: the discovery service is queried all the time
 	case headmill.ActLog:
 		p.log.Warn(action.Text)
--- a/internal/platform/proxy/proxy_test.go
+++ b/internal/platform/proxy/proxy_test.go
@@ -18,8 +18,8 @@
 	h := startHarness(t, 2, nil)
 	v := h.dialViewer()
 	v.send(`{"type":"ping","id":"x","fields":{},"cause":0}`)
-	if p := v.receive(); p.Type != "pong" || p.Cause != 1 || p.ID != "x" {
-		t.Fatalf("pong: %+v", p)
+	if reply := v.receive(); reply.Type != "pong" || reply.Cause != 1 || reply.ID != "x" {
+		t.Fatalf("pong: %+v", reply)
 	}
 	v.sendSetup(id1, "paid", "2;top:1")
 	node, setup := h.expectSetup()
@@ -27,12 +27,12 @@
 		t.Fatalf("set-up: %+v", setup)
 	}
 	setup.sendAnswer("v=0\r\n\"é\"")
-	if a := v.receive(); a.Type != "answer" || a.ID != id1 || a.SDP != "v=0\r\n\"é\"" {
-		t.Fatalf("answer: %+v", a)
+	if reply := v.receive(); reply.Type != "answer" || reply.ID != id1 || reply.SDP != "v=0\r\n\"é\"" {
+		t.Fatalf("answer: %+v", reply)
 	}
 	setup.sendRelease(causeNormal)
-	if a := v.receive(); a.Type != "release" || a.ID != id1 || a.Cause != causeNormal {
-		t.Fatalf("release: %+v", a)
+	if reply := v.receive(); reply.Type != "release" || reply.ID != id1 || reply.Cause != causeNormal {
+		t.Fatalf("release: %+v", reply)
 	}
 	node.expect(frame.Released)
 }
@@ -61,8 +61,8 @@
 	h.expectViewerConns(0)
 	setup1.sendRelease(causeNormal)
 	h.expectUnconfirmed(1)
-	mute := h.dialViewer()
-	if reply := mute.receive(); reply.Type != "release" || reply.ID != id1 {
+	silentViewer := h.dialViewer()
+	if reply := silentViewer.receive(); reply.Type != "release" || reply.ID != id1 {
 		t.Fatalf("%+v", reply)
 	}
 	b := h.dialViewer()
@@ -100,7 +100,7 @@
 func TestRefusalIsImmediateWithRetryAdvice(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
-	began := time.Now()
+	start := time.Now()
 	v.sendSetup(id1, "paid", "1;top:0")
 	_, setup := h.expectSetup()
 	setup.sendRelease(causeFull)
@@ -108,15 +108,15 @@
 	if reply.Type != "release" || reply.Cause != causeCongested || reply.Fields["wait"] != "700" {
 		t.Fatalf("%+v", reply)
 	}
-	if d := time.Since(began); d > 2*time.Second {
-		t.Fatalf("refused only after %v of 3 s", d)
+	if elapsed := time.Since(start); elapsed > 2*time.Second {
+		t.Fatalf("refused only after %v of 3 s", elapsed)
 	}
 }
 
 // Errors and connection failures after the set-up was sent prove nothing: a set-up of the paid class, which may run once
 // only, fails without a second attempt.
 func TestPaidSetupThatMayHaveRunIsNeverRepeated(t *testing.T) {
-	for name, spoil := range map[string]func(*standInNode, nodeMessage){
+	for name, fail := range map[string]func(*standInNode, nodeMessage){
 		"error": func(_ *standInNode, setup nodeMessage) { setup.sendRelease(causeError) },
 		"reset": func(node *standInNode, _ nodeMessage) { node.resetConns() },
 		"noise": func(_ *standInNode, setup nodeMessage) { setup.conn.Write([]byte{0, 9, 99, 1, 2, 3}) },
@@ -128,7 +128,7 @@
 			v := h.dialViewer()
 			v.sendSetup(id1, "paid", "2;top:0")
 			node, setup := h.expectSetup()
-			spoil(node, setup)
+			fail(node, setup)
 			if reply := v.receive(); reply.Type != "release" || reply.Cause != causeError {
 				t.Fatalf("%+v", reply)
 			}
@@ -262,19 +262,19 @@
 // A set-up with an id in use, on another connection: it is refused, and the existing session goes on.
 func TestIDInUse(t *testing.T) {
 	h := startHarness(t, 1, nil)
-	v, rude := h.dialViewer(), h.dialViewer()
+	v, other := h.dialViewer(), h.dialViewer()
 	v.sendSetup(id1, "paid", "1;top:0")
 	_, setup := h.expectSetup()
-	rude.sendSetup(id1, "paid", "1;top:1")
-	if reply := rude.receive(); reply.Type != "release" || reply.Cause != causeInvalidField {
+	other.sendSetup(id1, "paid", "1;top:1")
+	if reply := other.receive(); reply.Type != "release" || reply.Cause != causeInvalidField {
 		t.Fatalf("%+v", reply)
 	}
 	setup.sendAnswer("x")
 	if reply := v.receive(); reply.Type != "answer" {
 		t.Fatalf("%+v", reply)
 	}
-	rude.sendSetup(id1, "paid", "1;top:1")
-	if reply := rude.receive(); reply.Type != "release" {
+	other.sendSetup(id1, "paid", "1;top:1")
+	if reply := other.receive(); reply.Type != "release" {
 		t.Fatalf("%+v", reply)
 	}
 	setup.sendRelease(causeNormal)
@@ -306,15 +306,17 @@
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	good := `{"type":"setup","id":"` + id1 + `","fields":{"class":"paid","left":"3000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:1"},"sdp":"x"}`
-	for _, change := range [][2]string{{`"paid"`, `"gold"`}, {`"acme"`, `"none"`}, {`"3000"`, `"nan"`}, {`"3000"`, `-5`}, {`"3000"`, `1e12`},
-		{`"3000"`, `"+Inf"`}, {`home:0`, `home:99`}, {`copies:1`, `copies:0`}, {`top:1`, `top:1.5`}, {`top:1`, `tip:1`},
+	for _, change := range [][2]string{{`"paid"`, `"gold"`}, {`"acme"`, `"none"`}, {`"3000"`, `"nan"`}, {`"3000"`, `-5`},
+		{`"3000"`, `1e12`}, {`"3000"`, `"+Inf"`}, {`home:0`, `home:99`}, {`copies:1`, `copies:0`},
+		{`top:1`, `top:1.5`}, {`top:1`, `tip:1`},
 		{`7f3a9c21e0b4d655`, `zz`}, {`"sdp":"x"`, `"sdp":""`}, {`,"sdp":"x"`, ``}, {`"left":"3000",`, ``}} {
 		line := strings.Replace(good, change[0], change[1], 1)
 		if line == good {
 			t.Fatalf("%v does not occur in the set-up", change)
 		}
 		v.send("%s", line)
-		if reply := v.receive(); reply.Type != "release" || reply.Cause == causeFull || reply.Cause == causeCongested || reply.Cause == causeNeverRan {
+		if reply := v.receive(); reply.Type != "release" || reply.Cause == causeFull ||
+			reply.Cause == causeCongested || reply.Cause == causeNeverRan {
 			t.Errorf("%v: %+v", change, reply)
 		}
 	}
@@ -326,12 +328,12 @@
 // Input that is malformed, too long, never completed or never sent closes its connection.
 func TestMalformedInputClosesConnection(t *testing.T) {
 	h := startHarness(t, 1, nil)
-	for name, b := range map[string]string{"noise": "\x16\x03\x01\x02\n", "too long": strings.Repeat("x", 40000),
+	for name, input := range map[string]string{"noise": "\x16\x03\x01\x02\n", "too long": strings.Repeat("x", 40000),
 		"id": `{"type":"setup","id":"-1","fields":{}}` + "\n", "silent": "", "no end": `{"type":"setup"`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			v := h.dialViewer()
-			fmt.Fprint(v.conn, b)
+			fmt.Fprint(v.conn, input)
 			v.expectClosed()
 		})
 	}
@@ -339,15 +341,15 @@
 
 // At the connection limit, silent connections are closed in favour of those that send set-ups.
 func TestSilentConnectionsAreClosedAtTheLimit(t *testing.T) {
-	h := startHarness(t, 1, func(c *Config) { c.Sockets = 64 })
+	h := startHarness(t, 1, func(cfg *Config) { cfg.Sockets = 64 })
 	var silent []net.Conn
 	for range 40 {
-		c, err := net.Dial("tcp4", h.addr)
+		conn, err := net.Dial("tcp4", h.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		silent = append(silent, c)
+		defer conn.Close()
+		silent = append(silent, conn)
 	}
 	v := h.dialViewer()
 	v.sendSetup(id1, "free", "1;top:0")
@@ -358,7 +360,7 @@
 	}
 	silent[0].SetReadDeadline(time.Now().Add(testTimeout))
 	_, err := silent[0].Read(make([]byte, 1))
-	if ne, ok := err.(net.Error); err == nil || ok && ne.Timeout() {
+	if netErr, ok := err.(net.Error); err == nil || ok && netErr.Timeout() {
 		t.Fatalf("the first silent connection is still open: %v", err)
 	}
 }
@@ -398,20 +400,20 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	fresh := *h.cfg
-	fresh.DNS = other.LocalAddr().String()
-	h.proxy.Reload(&fresh)
-	b := make([]byte, 512)
+	newCfg := *h.cfg
+	newCfg.DNS = other.LocalAddr().String()
+	h.proxy.Reload(&newCfg)
+	buf := make([]byte, 512)
 	other.SetReadDeadline(time.Now().Add(testTimeout))
-	if _, _, err := other.ReadFromUDP(b); err != nil {
+	if _, _, err := other.ReadFromUDP(buf); err != nil {
 		t.Fatalf("the new address is not queried: %v", err)
 	}
-	bad := *h.cfg
-	bad.DNS = "nowhere"
-	h.proxy.Reload(&bad)
+	badCfg := *h.cfg
+	badCfg.DNS = "nowhere"
+	h.proxy.Reload(&badCfg)
 	other.SetReadDeadline(time.Now().Add(testTimeout))
 	for range 3 {
-		if _, _, err := other.ReadFromUDP(b); err != nil {
+		if _, _, err := other.ReadFromUDP(buf); err != nil {
 			t.Fatalf("an unusable address ends the queries: %v", err)
 		}
 	}
@@ -470,11 +472,11 @@
 		t.Fatalf("a set-up right after the stop is not served: %+v", reply)
 	}
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
-		c, err := net.Dial("tcp4", h.addr)
+		conn, err := net.Dial("tcp4", h.addr)
 		if err != nil {
 			break
 		}
-		c.Close()
+		conn.Close()
 		if time.Now().After(deadline) {
 			t.Fatal("the listener stays open")
 		}
@@ -498,7 +500,9 @@
 
 // A set-up that is pending while its media node's address changes keeps its connection; that is not used for another.
 func TestChangedAddressDuringSetup(t *testing.T) {
-	h := startHarness(t, 1, func(c *Config) { c.Module.ReportIntervalMs = 1e6 }) // keeps the connection from being closed as silent
+	h := startHarness(t, 1, func(cfg *Config) {
+		cfg.Module.ReportIntervalMs = 1e6 // keeps the connection from being closed as silent
+	})
 	v := h.dialViewer()
 	v.sendSetup(id1, "free", "1;top:0")
 	_, setup := h.expectSetup()
@@ -528,20 +532,24 @@
 
 // A drain is announced while a set-up waits for its connection: the set-up is not written.
 func TestDrainWhileConnecting(t *testing.T) {
-	hole, ln := fullBacklogListener(t)
-	h := startHarness(t, 1, func(c *Config) { c.ConnectMs = 20000; c.Snapshot.Items[0].Roster.Hosts[0].Dial = hole })
+	addr, listener := fullBacklogListener(t)
+	h := startHarness(t, 1, func(cfg *Config) {
+		cfg.ConnectMs = 20000
+		cfg.Snapshot.Items[0].Roster.Hosts[0].Dial = addr
+	})
 	v := h.dialViewer()
-	v.send(`{"type":"setup","id":"%s","fields":{"class":"paid","left":"6000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:0"},"sdp":"x"}`, id1)
+	v.send(`{"type":"setup","id":"%s","fields":{"class":"paid","left":"6000","tenant":"acme","key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:0"},"sdp":"x"}`,
+		id1)
 	h.waitFor("no attempt", func(stats Stats) bool { return stats.Attempts == 1 })
-	h.setNodeList("draining", hole)
+	h.setNodeList("draining", addr)
 	go func() { // lets the pending connects succeed
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				if n, _ := c.Read(make([]byte, 100)); n > 0 {
+				if n, _ := conn.Read(make([]byte, 100)); n > 0 {
 					t.Errorf("%d bytes were written after the drain was announced", n)
 				}
 			}()
@@ -598,13 +606,13 @@
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	node, _ := h.playSession(v, id1)
-	hole, ln := fullBacklogListener(t)
-	h.runOnLoop(func() { h.proxy.nodes[discovery.NodeIDFromName(node.name)].addr = hole })
+	addr, listener := fullBacklogListener(t)
+	h.runOnLoop(func() { h.proxy.nodes[discovery.NodeIDFromName(node.name)].addr = addr })
 	node.resetConns()
 	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
 	v.receive()
 	h.waitFor("not ended", func(Stats) bool { return h.sessionCount() == 0 }) // the first connect fails before or after
-	go node.serve(ln)
+	go node.serve(listener)
 	if msg := node.expect(frame.Release); msg.id != 0xa1 {
 		t.Fatalf("%+v", msg)
 	}
@@ -634,9 +642,9 @@
 	v := h.dialViewer()
 	h.serveDNS(7, func(i int) bool { return i == 0 })
 	h.waitFor("the node list is not applied", func(Stats) bool {
-		var no uint64
-		h.runOnLoop(func() { no = h.proxy.nodeList.Version() })
-		return no == 7
+		var version uint64
+		h.runOnLoop(func() { version = h.proxy.nodeList.Version() })
+		return version == 7
 	})
 	for i := range 6 {
 		v.sendSetup(fmt.Sprintf("%016x", 0xd0+i), "free", "2;top:0")
@@ -649,29 +657,33 @@
 	}
 }
 
-// The descriptions of pending set-ups are limited to a part of the memory; one more is refused at once, with retry advice.
+// The descriptions of pending set-ups are limited to a part of the memory; one more is refused at once, with retry
+// advice.
 func TestPendingSetupsAreBoundedInMemory(t *testing.T) {
-	h := startHarness(t, 1, func(c *Config) { c.MemoryMB = 1 })
+	h := startHarness(t, 1, func(cfg *Config) { cfg.MemoryMB = 1 })
 	v := h.dialViewer()
-	big, n := strings.Repeat("x", 15000), 40
+	description, setups := strings.Repeat("x", 15000), 40
 	go func() {
-		for i := range n {
-			v.send(`{"type":"setup","id":"%016x","fields":{"class":"free","left":"3000","tenant":"acme","key":"%016x","extras":"home:0;copies:1;top:0"},"sdp":"%s"}`, 0xe00+i, i, big)
+		for i := range setups {
+			v.send(`{"type":"setup","id":"%016x","fields":{"class":"free","left":"3000","tenant":"acme","key":"%016x","extras":"home:0;copies:1;top:0"},"sdp":"%s"}`,
+				0xe00+i, i, description)
 		}
 	}()
 	refused := 0
-	for range n {
+	for range setups {
 		if reply := v.receive(); reply.Type == "release" && reply.Cause == causeCongested && reply.Fields["wait"] != "" {
 			refused++
 		}
 	}
-	if stats := h.stats(); refused < n/2 || stats.Requests+stats.Denied != n || stats.Denied == 0 {
+	if stats := h.stats(); refused < setups/2 || stats.Requests+stats.Denied != setups || stats.Denied == 0 {
 		t.Fatalf("%d refused, %+v", refused, stats)
 	}
 	h.waitFor("quota is not returned", func(Stats) bool {
-		var held int64
-		h.runOnLoop(func() { held = h.proxy.quotas.Usage(limits.Waiting).Used + h.proxy.quotas.Usage(limits.Sessions).Used })
-		return held == 0
+		var used int64
+		h.runOnLoop(func() {
+			used = h.proxy.quotas.Usage(limits.Waiting).Used + h.proxy.quotas.Usage(limits.Sessions).Used
+		})
+		return used == 0
 	})
 }
 
@@ -683,8 +695,9 @@
 	for round := range 8 {
 		name := fmt.Sprintf("s-new-%d", round)
 		h.runOnLoop(func() {
-			if err := h.proxy.applyNodeList(&discovery.Message{Version: uint64(10 + round), Full: true, Entries: []discovery.Entry{
-				{Name: name, Addr: node.listener.Addr().String(), State: "ready", Weight: 1}}}); err != nil {
+			if err := h.proxy.applyNodeList(&discovery.Message{Version: uint64(10 + round), Full: true,
+				Entries: []discovery.Entry{
+					{Name: name, Addr: node.listener.Addr().String(), State: "ready", Weight: 1}}}); err != nil {
 				t.Error(err)
 			}
 		})
@@ -704,26 +717,27 @@
 			v.conn.Close()
 		}
 	}
-	sizes := func() (out string) {
+	stateSizes := func() (out string) {
 		h.runOnLoop(func() {
-			n := h.proxy
-			out = fmt.Sprint(len(n.sessions), len(n.sessionsByModuleID), len(n.viewers), n.connManager.Len(), n.pendingSetups, n.retransmitter.Len(),
-				n.quotas.Usage(limits.Waiting).Used, n.quotas.Usage(limits.Sessions).Used, len(n.nodes)-1)
-			for _, n := range n.nodes {
+			p := h.proxy
+			out = fmt.Sprint(len(p.sessions), len(p.sessionsByModuleID), len(p.viewers), p.connManager.Len(),
+				p.pendingSetups, p.retransmitter.Len(), p.quotas.Usage(limits.Waiting).Used,
+				p.quotas.Usage(limits.Sessions).Used, len(p.nodes)-1)
+			for _, n := range p.nodes {
 				out += fmt.Sprint(" ", len(n.sessions), len(n.queue))
 				for _, nc := range n.conns {
 					out += fmt.Sprint(" ", len(nc.attempts))
 				}
 			}
-			if n.nodeConnCount > maxConnsPerNode {
-				out += fmt.Sprint(" node connections ", n.nodeConnCount)
+			if p.nodeConnCount > maxConnsPerNode {
+				out += fmt.Sprint(" node connections ", p.nodeConnCount)
 			}
 		})
 		return out
 	}
-	for deadline := time.Now().Add(testTimeout); strings.Trim(sizes(), "0 ") != ""; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); strings.Trim(stateSizes(), "0 ") != ""; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("state left behind: %s", sizes())
+			t.Fatalf("state left behind: %s", stateSizes())
 		}
 	}
 }
--- a/internal/platform/proxy/race_test.go
+++ b/internal/platform/proxy/race_test.go
@@ -19,8 +19,8 @@
 // happen, so that the unfavourable order occurs each time.
 
 // waitForPeerClose waits until the peer's close has reached the kernel. It runs on the loop, which has not seen it yet.
-func waitForPeerClose(t *testing.T, c *loop.Conn) {
-	for deadline := time.Now().Add(testTimeout); !c.WriteClosed(); time.Sleep(time.Millisecond) {
+func waitForPeerClose(t *testing.T, conn *loop.Conn) {
+	for deadline := time.Now().Add(testTimeout); !conn.WriteClosed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Error("the close does not arrive")
 			return
@@ -37,11 +37,13 @@
 		h.runOnLoop(func() {
 			v.sendSetup(id1, "free", "1;top:0")
 			v.conn.Close()
-			for _, x := range h.proxy.viewers {
-				for deadline := time.Now().Add(testTimeout); unreadData(x.conn) == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+			for _, viewer := range h.proxy.viewers {
+				for deadline := time.Now().Add(testTimeout); unreadData(viewer.conn) == 0 &&
+					time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 				}
 			}
-			time.Sleep(5 * time.Millisecond) // the close follows the bytes; reading earlier only makes the test easier to pass
+			// The close follows the bytes; reading earlier only makes the test easier to pass.
+			time.Sleep(5 * time.Millisecond)
 		})
 		h.expectViewerConns(0)
 	}
@@ -51,8 +53,8 @@
 }
 
 // unreadData returns 1 if bytes wait to be read, else 0.
-func unreadData(c *loop.Conn) int {
-	if c.Idle() {
+func unreadData(conn *loop.Conn) int {
+	if conn.Idle() {
 		return 0
 	}
 	return 1
@@ -60,18 +62,18 @@
 
 // An attempt waits for its connection; the connection opens and the viewer leaves in one round.
 func TestCloseWhileConnecting(t *testing.T) {
-	addr, hole := fullBacklogListener(t)
-	h := startHarness(t, 1, func(c *Config) { c.ConnectMs = 60000 })
+	addr, listener := fullBacklogListener(t)
+	h := startHarness(t, 1, func(cfg *Config) { cfg.ConnectMs = 60000 })
 	h.setNodeList("ready", addr)
 	v := h.dialViewer()
 	v.sendSetup(id1, "free", "1;top:0")
 	h.waitFor("no attempt", func(stats Stats) bool { return stats.Attempts == 1 })
 	s := h.session(id1)
-	node := &standInNode{t: t, listener: hole, name: "hole", received: make(chan nodeMessage, 100)}
+	node := &standInNode{t: t, listener: listener, name: "hole", received: make(chan nodeMessage, 100)}
 	h.runOnLoop(func() {
 		v.conn.Close()
 		waitForPeerClose(t, s.viewer.conn)
-		go node.serve(hole)
+		go node.serve(listener)
 		for deadline := time.Now().Add(testTimeout); !s.attempt.conn.conn.Established(); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
 				t.Error("the connection is not established")
@@ -80,8 +82,8 @@
 		}
 	})
 	h.waitFor("the viewer's close is not noticed", func(stats Stats) bool { return stats.ViewersLeft == 1 })
-	w := h.dialViewer()
-	w.sendSetup(id2, "free", "1;top:0") // on the established connection, on which nothing was sent before
+	other := h.dialViewer()
+	other.sendSetup(id2, "free", "1;top:0") // on the established connection, on which nothing was sent before
 	if got := node.expect(frame.Setup); got.id != 0xa2 {
 		t.Fatalf("an attempt was written after its viewer had left: %+v", got)
 	}
@@ -93,12 +95,13 @@
 	v := h.dialViewer()
 	v.sendSetup(id1, "paid", "1;top:0")
 	node, setup := h.expectSetup()
-	open := h.session(id1)
+	pending := h.session(id1)
 	h.runOnLoop(func() {
 		v.conn.Close()
-		waitForPeerClose(t, open.viewer.conn)
+		waitForPeerClose(t, pending.viewer.conn)
 		setup.sendAnswer("x")
-		for deadline := time.Now().Add(testTimeout); unreadData(open.attempt.conn.conn) == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(testTimeout); unreadData(pending.attempt.conn.conn) == 0 &&
+			time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		}
 	})
 	if msg := node.expect(frame.Release); msg.id != 0xa1 || msg.cause != causeNormal {
@@ -150,8 +153,8 @@
 	if reply := v.receive(); reply.Type != "answer" {
 		t.Fatalf("%+v", reply)
 	}
-	if c, err := net.Dial("tcp4", h.addr); err == nil {
-		c.Close()
+	if conn, err := net.Dial("tcp4", h.addr); err == nil {
+		conn.Close()
 		t.Fatal("the listener is still open")
 	}
 }
@@ -177,10 +180,10 @@
 	v := h.dialViewer()
 	_, setup := h.playSession(v, id1)
 	h.runOnLoop(func() {
-		c := h.proxy.sessions[setup.id].viewer.conn
-		c.SetLimit(0)
-		for big := make([]byte, 1<<20); c.Pending() == 0; {
-			c.Write(big)
+		conn := h.proxy.sessions[setup.id].viewer.conn
+		conn.SetLimit(0)
+		for big := make([]byte, 1<<20); conn.Pending() == 0; {
+			conn.Write(big)
 		}
 		if got := h.proxy.unsentMessages(); got != 1 {
 			t.Errorf("%d unsent, want 1: the viewer's output", got)
@@ -199,7 +202,7 @@
 // to get attempts.
 func TestCancelledConnectDoesNotCountAgainstTheNode(t *testing.T) {
 	addr, _ := fullBacklogListener(t)
-	h := startHarness(t, 1, func(c *Config) { c.ConnectMs = 60000 })
+	h := startHarness(t, 1, func(cfg *Config) { cfg.ConnectMs = 60000 })
 	h.setNodeList("ready", addr)
 	for i := range 3 {
 		v := h.dialViewer()
@@ -219,14 +222,14 @@
 	}
 	defer other.Close()
 	h.runOnLoop(func() {
-		var was unix.Rlimit
-		if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+		var limit unix.Rlimit
+		if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 			t.Error(err)
 		}
 		free, _ := unix.Dup(0)
 		unix.Close(free)
-		unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(free), Max: was.Max})
-		defer unix.Setrlimit(unix.RLIMIT_NOFILE, &was)
+		unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(free), Max: limit.Max})
+		defer unix.Setrlimit(unix.RLIMIT_NOFILE, &limit)
 		if _, err := h.loop.DialPacket(other.LocalAddr().String(), func([]byte) {}); err == nil {
 			t.Error("a descriptor is free: the test proves nothing")
 		}
@@ -247,8 +250,8 @@
 	node := h.adoptSession(v, id1)
 	node.anyConn()
 	h.runOnLoop(func() {
-		if err := h.proxy.applyNodeList(&discovery.Message{Version: 9, Full: true, Entries: []discovery.Entry{{Name: "s-new",
-			Addr: node.listener.Addr().String(), State: "ready", Weight: 1}}}); err != nil {
+		if err := h.proxy.applyNodeList(&discovery.Message{Version: 9, Full: true, Entries: []discovery.Entry{
+			{Name: "s-new", Addr: node.listener.Addr().String(), State: "ready", Weight: 1}}}); err != nil {
 			t.Error(err)
 		}
 	})
@@ -311,13 +314,13 @@
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	node, setup := h.playSession(v, id1)
-	out, at := frame.Begin(nil, frame.Ping, 1)
-	out = frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), at)
-	cut := append(out[3:len(out):len(out)], out[:3]...)
+	out, start := frame.Begin(nil, frame.Ping, 1)
+	out = frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), start)
+	fragment := append(out[3:len(out):len(out)], out[:3]...)
 	setup.conn.Write(append(out[:len(out):len(out)], out[:3]...))
 	node.expect(frame.Pong)
 	first := h.waitForClock()
-	setup.conn.Write(cut)
+	setup.conn.Write(fragment)
 	node.expect(frame.Pong)
 	h.runOnLoop(func() {
 		if nc := h.proxy.sessions[setup.id].node.conns[0]; !nc.reader.Partial() || nc.partialSince < first {
@@ -350,8 +353,9 @@
 	h.runOnLoop(func() {
 		a.sendExistingSession(id1, "s-77")
 		a.conn.Close()
-		for _, v := range h.proxy.viewers {
-			for deadline := time.Now().Add(testTimeout); len(v.playing) == 0 && unreadData(v.conn) == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		for _, viewer := range h.proxy.viewers {
+			for deadline := time.Now().Add(testTimeout); len(viewer.playing) == 0 && unreadData(viewer.conn) == 0 &&
+				time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 			}
 		}
 	})
@@ -366,14 +370,14 @@
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
 	node, _ := h.playSession(v, id1)
-	at := h.session(id1).node
+	mediaNode := h.session(id1).node
 	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
 	node.expect(frame.Release)
-	h.runOnLoop(at.closeUnusedConns)
+	h.runOnLoop(mediaNode.closeUnusedConns)
 	h.runOnLoop(func() {}) // Closed is called after the round
 	h.runOnLoop(func() {
-		if len(at.conns)+len(at.queue) != 0 {
-			t.Errorf("%d connections, %d messages kept", len(at.conns), len(at.queue))
+		if len(mediaNode.conns)+len(mediaNode.queue) != 0 {
+			t.Errorf("%d connections, %d messages kept", len(mediaNode.conns), len(mediaNode.queue))
 		}
 	})
 }
@@ -396,23 +400,23 @@
 	v.receive()
 	setupA.conn.(*net.TCPConn).SetLinger(0)
 	setupA.conn.Close()
-	fresh := func() (c net.Conn) {
+	newConn := func() (conn net.Conn) {
 		node.mu.Lock()
 		defer node.mu.Unlock()
 		if last := node.conns[len(node.conns)-1]; last != setupA.conn && last != setupB.conn {
-			c = last
+			conn = last
 		}
-		return c
+		return conn
 	}
-	out, at := frame.Begin(nil, frame.Ping, 1)
-	out = frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), at)
-	for deadline := time.Now().Add(testTimeout); fresh() == nil; time.Sleep(5 * time.Millisecond) {
+	out, start := frame.Begin(nil, frame.Ping, 1)
+	out = frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), start)
+	for deadline := time.Now().Add(testTimeout); newConn() == nil; time.Sleep(5 * time.Millisecond) {
 		setupB.conn.Write(out) // keeps the other connection from counting as silent, which would open one too
 		if time.Now().After(deadline) {
 			t.Fatal("no further connection is opened")
 		}
 	}
-	fresh().Write(frame.AppendRelease(nil, setupA.id, causeNormal))
+	newConn().Write(frame.AppendRelease(nil, setupA.id, causeNormal))
 	if reply := v.receive(); reply.Type != "release" || reply.ID != id1 {
 		t.Fatalf("%+v", reply)
 	}
--- a/internal/platform/proxy/session.go
+++ b/internal/platform/proxy/session.go
@@ -142,7 +142,8 @@
 		s.answerEnd = v.conn.Written() + int64(v.conn.Pending())
 		v.markPlaying(s)
 	}
-	p.queueEvent(headmill.Event{Kind: headmill.EvAttemptPlaying, Session: s.moduleID, Node: s.node.id, LatencyMs: latencyMs})
+	p.queueEvent(headmill.Event{Kind: headmill.EvAttemptPlaying, Session: s.moduleID, Node: s.node.id,
+		LatencyMs: latencyMs})
 	p.queueHealthEvent(health.Event{Kind: health.SessionStarted, Node: health.NodeID(s.node.id),
 		Session: health.SessionID(s.moduleID)})
 	p.sendRung(s) // a change during the set-up may not have been sent
--- a/internal/platform/proxy/viewer.go
+++ b/internal/platform/proxy/viewer.go
@@ -36,7 +36,8 @@
 // acceptViewer takes a new connection unless the connection manager closes it at once.
 func (p *Proxy) acceptViewer(conn *loop.Conn) loop.Handler {
 	p.lastConnID++
-	v := &viewer{proxy: p, conn: conn, id: p.lastConnID, pending: map[*session]struct{}{}, playing: map[*session]struct{}{}}
+	v := &viewer{proxy: p, conn: conn, id: p.lastConnID, pending: map[*session]struct{}{},
+		playing: map[*session]struct{}{}}
 	conn.SetLimit(maxViewerOutput)
 	p.viewers[v.id] = v
 	p.stepConnManager(connmgr.Event{Kind: connmgr.Accepted, Conn: v.id})
