--- /dev/null
+++ b/internal/platform/proxy/discovery.go
@@ -0,0 +1,70 @@
+package proxy
+
+import (
+	"fmt"
+
+	"headmill/internal/loop"
+	"headmill/internal/platform/dns"
+)
+
+const (
+	serviceName = "_api._tcp.svc.local."
+	// propagationMs is the time after which a director counts as notified of a change, whether or not an answer has
+	// arrived (PROTOCOL, "The name service").
+	propagationMs = 1500.0
+	// queriesPerWindow is the number of queries within propagationMs plus the settings' drain grace: more than one,
+	// since answers get lost.
+	queriesPerWindow = 8
+	// maxOutstandingQueries is the number of most recent queries whose answers are accepted.
+	maxOutstandingQueries = 16
+)
+
+// discoveryClient queries the discovery service for the full node list, periodically and without end.
+type discoveryClient struct {
+	proxy       *Proxy
+	conn        *loop.PacketConn
+	queryTimer  *loop.Timer
+	lastQueryID uint16
+}
+
+// connect queries the service at addr from now on. On an error the old address stays in use.
+func (d *discoveryClient) connect(addr string) error {
+	conn, err := d.proxy.loop.DialPacket(addr, d.handleAnswer)
+	switch {
+	case err == nil:
+		if d.conn != nil {
+			d.conn.Close()
+		}
+		d.conn = conn
+	case d.conn != nil && d.conn.Reconnect(addr) == nil:
+		// No file descriptor is free, as when idle clients hold them all: the existing socket is reused.
+	default:
+		return fmt.Errorf("proxy: connect to the discovery service: %w", err)
+	}
+	d.proxy.loop.Cancel(d.queryTimer)
+	d.query()
+	return nil
+}
+
+// query sends one query and schedules the next.
+func (d *discoveryClient) query() {
+	d.queryTimer = d.proxy.loop.After((propagationMs+d.proxy.cfg.DrainGraceMs)/queriesPerWindow, d.query)
+	d.lastQueryID++
+	if query, err := dns.AppendQuery(d.lastQueryID, serviceName); err == nil {
+		d.conn.Send(query)
+	}
+}
+
+// handleAnswer reads one datagram. An unusable answer leaves the node list as it is: the next query is due soon.
+func (d *discoveryClient) handleAnswer(datagram []byte) {
+	if id, ok := dns.MessageID(datagram); !ok || d.lastQueryID-id >= maxOutstandingQueries {
+		return
+	}
+	list, err := dns.ParseAnswer(datagram, d.proxy.cfg.Vocabulary)
+	if err == nil {
+		err = d.proxy.applyNodeList(&list)
+	}
+	if err != nil {
+		d.proxy.log.Debug("unusable answer of the discovery service", "error", err.Error())
+	}
+}
--- /dev/null
+++ b/internal/platform/proxy/medianode.go
@@ -0,0 +1,422 @@
+package proxy
+
+import (
+	"errors"
+	"math"
+	"slices"
+	"strconv"
+
+	"headmill"
+	"headmill/decide/attempt"
+	"headmill/decide/health"
+	"headmill/internal/loop"
+	"headmill/internal/platform/frame"
+)
+
+const (
+	// maxConnsPerNode limits the connections to one media node. While it is not reached, each carries one set-up.
+	maxConnsPerNode = 8
+	// partialMessageTimeoutMs is the time to wait for the rest of a message, which has at most 16 KiB (PROTOCOL,
+	// "Messages").
+	partialMessageTimeoutMs = 300.0
+	// maxNodeOutput is the number of bytes that may wait for a media node that does not read.
+	maxNodeOutput = 64 << 10
+	// unusedNodeTTLMs is the time after which the state of a listed but unused media node is dropped.
+	unusedNodeTTLMs = 60000.0
+	// queueTTLMs is the time for which messages are kept while no connection can be opened: longer than the 8 s of a
+	// release (PROTOCOL).
+	queueTTLMs = 20000.0
+	// releaseLossWindowMs is the time before a connection's end in which a release written to it may have been lost.
+	releaseLossWindowMs = 1000.0
+	// maxQueuedMessages limits the messages kept for a media node while no connection is established.
+	maxQueuedMessages = 256
+)
+
+// mediaNode is a media node with its connection pool and the sessions that this director has there.
+type mediaNode struct {
+	proxy       *Proxy
+	id          headmill.NodeID
+	name        string
+	addr        string
+	conns       []*nodeConn
+	sessions    map[uint64]*session // playing or ending, by protocol id
+	queue       [][]byte            // messages about sessions, kept until a connection is established
+	queuedSince float64             // loop time, ms, of the first message in queue
+	lastUsed    float64             // loop time, ms
+}
+
+// nodeConn is one connection to a media node.
+type nodeConn struct {
+	node           *mediaNode
+	conn           *loop.Conn
+	addr           string // dialled address; the node's address may change later
+	established    bool
+	reader         frame.Reader
+	attempts       map[uint64]*setupAttempt // by protocol id of the session
+	partialSince   float64                  // loop time, ms, since which a message is incomplete
+	lastUsed       float64                  // loop time, ms, of the last bytes sent or received
+	recentReleases []sentRelease            // oldest first
+	connectTimer   *loop.Timer
+}
+
+// sentRelease is a release that was written to a media node, and the loop time, ms, at which it was first due.
+type sentRelease struct {
+	id          uint64
+	firstSentAt float64
+}
+
+// mediaNode returns the state of a media node, and creates it where there is none.
+func (p *Proxy) mediaNode(id headmill.NodeID) *mediaNode {
+	n := p.nodes[id]
+	if n == nil {
+		n = &mediaNode{proxy: p, id: id, sessions: map[uint64]*session{}}
+		n.name, n.addr = p.nodeList.Name(id), p.nodeList.Addr(id)
+		p.nodes[id] = n
+	}
+	n.lastUsed = p.loop.Now()
+	return n
+}
+
+// dial opens a connection. It returns nil at a connection limit, on an error, or if another media node now has the
+// address.
+func (n *mediaNode) dial() *nodeConn {
+	if n.addrReassigned() {
+		return nil
+	}
+	if len(n.conns) >= maxConnsPerNode || n.proxy.nodeConnCount >= n.proxy.cfg.Sockets/3 {
+		return nil
+	}
+	nc := &nodeConn{node: n, addr: n.addr, attempts: map[uint64]*setupAttempt{}, lastUsed: n.proxy.loop.Now()}
+	conn, err := n.proxy.loop.Dial(n.addr, nc)
+	if err != nil {
+		n.proxy.log.Error("cannot dial media node", "host", n.name, "error", err.Error())
+		return nil
+	}
+	nc.conn = conn
+	conn.SetLimit(maxNodeOutput)
+	n.conns = append(n.conns, nc)
+	n.proxy.nodeConnCount++
+	nc.connectTimer = n.proxy.loop.After(n.proxy.cfg.ConnectMs, func() { conn.Close(loop.ErrConnectTimeout) })
+	return nc
+}
+
+// addrReassigned tells whether the media node is no longer listed and another one has its address. What answers there
+// then proves nothing about this node.
+func (n *mediaNode) addrReassigned() bool {
+	return !n.proxy.nodeList.Listed(n.id) && n.proxy.nodeList.AddrInUse(n.addr)
+}
+
+// removeConn takes a connection out of the pool. Its attempts learn of the end by Closed.
+func (n *mediaNode) removeConn(nc *nodeConn) {
+	if i := slices.Index(n.conns, nc); i >= 0 {
+		n.conns = slices.Delete(n.conns, i, i+1)
+		n.proxy.nodeConnCount--
+	}
+}
+
+// changeAddr sets a new address. Existing connections lead to whatever was at the old one, so none is used for anything
+// new; one that carries a set-up is closed once that has its outcome.
+func (n *mediaNode) changeAddr(addr string) {
+	n.addr = addr
+	for _, nc := range slices.Clone(n.conns) {
+		nc.closeIfMoved()
+	}
+}
+
+// closeIfMoved closes a connection to an address that the media node has left, if no attempt uses it.
+func (nc *nodeConn) closeIfMoved() {
+	if nc.addr != nc.node.addr && len(nc.attempts) == 0 {
+		nc.node.removeConn(nc)
+		nc.conn.Close(loop.ErrClosedByOwner)
+	}
+}
+
+// usable tells whether something new may be written to the connection.
+func (nc *nodeConn) usable() bool { return nc.established && nc.conn.Open() && nc.addr == nc.node.addr }
+
+// nearIdleTimeout tells whether the media node may be about to close the connection as idle. A set-up that crosses that
+// close is lost, without a proof that it never ran.
+func (nc *nodeConn) nearIdleTimeout() bool {
+	return nc.node.proxy.loop.Now()-nc.lastUsed > nc.node.proxy.cfg.KeepAliveMs-nc.node.proxy.cfg.ConnectMs
+}
+
+// idleConn returns a connection that carries no set-up, so that a malformed answer to the new one affects no other.
+func (n *mediaNode) idleConn() *nodeConn {
+	for _, nc := range n.conns {
+		if nc.usable() && len(nc.attempts) == 0 && !nc.reader.Partial() && !nc.nearIdleTimeout() && nc.conn.Idle() {
+			return nc
+		}
+	}
+	return nil
+}
+
+// leastLoadedConn returns the connection with the fewest set-ups, for use when no further one may be opened.
+func (n *mediaNode) leastLoadedConn() *nodeConn {
+	var best *nodeConn
+	for _, nc := range n.conns {
+		if nc.usable() && (best == nil || len(nc.attempts) < len(best.attempts)) {
+			best = nc
+		}
+	}
+	return best
+}
+
+// ensureConn opens a connection unless one is established or being opened, and reports the result to the health monitor.
+func (n *mediaNode) ensureConn() {
+	toCurrentAddr := func(nc *nodeConn) bool { return nc.addr == n.addr }
+	if n.leastLoadedConn() != nil {
+		n.reportStreamOpened()
+	} else if !slices.ContainsFunc(n.conns, toCurrentAddr) && n.dial() == nil {
+		n.proxy.queueHealthEvent(health.Event{Kind: health.StreamFailed, Node: health.NodeID(n.id),
+			ConnRefused: n.addrReassigned()})
+	}
+}
+
+// reportStreamOpened reports an established connection to the health monitor.
+func (n *mediaNode) reportStreamOpened() {
+	n.proxy.queueHealthEvent(health.Event{Kind: health.StreamOpened, Node: health.NodeID(n.id), Sessions: n.sessionIDs()})
+}
+
+// sessionIDs lists the sessions that this director holds there. The platform's media nodes don't report what they run,
+// so an established connection proves that the node is alive and says nothing against any session.
+func (n *mediaNode) sessionIDs() []health.SessionID {
+	var ids []health.SessionID
+	for _, s := range n.sessions {
+		ids = append(ids, health.SessionID(s.moduleID))
+	}
+	return ids
+}
+
+// closeUnusedConns closes the connections that carry no set-up. Where output is unsent it is lost, so the close must not
+// count as an orderly one: Closed repeats recent releases then.
+func (n *mediaNode) closeUnusedConns() {
+	for _, nc := range n.conns {
+		switch {
+		case len(nc.attempts) > 0:
+		case nc.conn.Pending() > 0:
+			nc.conn.Close(loop.ErrSlowReader)
+		default:
+			nc.conn.Close(loop.ErrClosedByOwner)
+		}
+	}
+}
+
+// sendRelease ends a session or gives up a set-up on this connection; firstSentAt is when it was first due. Media nodes
+// confirm nothing, so a release that was written shortly before the connection's end may be lost and is written again.
+// That stops releaseLossWindowMs after the first time, or a media node that resets every connection would be sent it
+// forever.
+func (nc *nodeConn) sendRelease(id uint64, firstSentAt float64) {
+	now := nc.node.proxy.loop.Now()
+	nc.recentReleases = append(slices.DeleteFunc(nc.recentReleases,
+		func(r sentRelease) bool { return now-r.firstSentAt > releaseLossWindowMs }), sentRelease{id, firstSentAt})
+	nc.write(frame.AppendRelease(nil, id, causeNormal))
+}
+
+// write writes a message.
+func (nc *nodeConn) write(msg []byte) {
+	nc.lastUsed = nc.node.proxy.loop.Now()
+	nc.conn.Write(msg)
+}
+
+// sendRelease ends a session at the media node, on any established connection or on the next one.
+func (n *mediaNode) sendRelease(id uint64, firstSentAt float64) {
+	if nc := n.leastLoadedConn(); nc != nil {
+		nc.sendRelease(id, firstSentAt)
+		return
+	}
+	n.sendMessage(frame.AppendRelease(nil, id, causeNormal))
+}
+
+// sendMessage writes a message about a session, on any established connection or on the next one.
+func (n *mediaNode) sendMessage(msg []byte) {
+	if nc := n.leastLoadedConn(); nc != nil {
+		nc.write(msg)
+		return
+	}
+	if len(n.queue) == 0 {
+		n.queuedSince = n.proxy.loop.Now()
+	}
+	if len(n.queue) < maxQueuedMessages {
+		n.queue = append(n.queue, msg)
+	}
+	n.dialForQueue()
+}
+
+// dialForQueue opens a connection for queued messages, for up to queueTTLMs. Without it a session whose release is
+// queued would play on.
+func (n *mediaNode) dialForQueue() {
+	switch {
+	case len(n.queue) == 0 || len(n.conns) > 0:
+	case n.proxy.loop.Now()-n.queuedSince > queueTTLMs, n.addrReassigned():
+		n.queue = nil
+	default:
+		n.dial()
+	}
+}
+
+// Connected implements loop.Handler. It writes the queued messages and the attempts that waited for the connection. If
+// the node was drained or moved meanwhile the attempts are cancelled: no byte has left, so they never ran.
+func (nc *nodeConn) Connected(conn *loop.Conn) {
+	n := nc.node
+	n.proxy.loop.Cancel(nc.connectTimer)
+	nc.established = true
+	for _, msg := range n.queue {
+		conn.Write(msg)
+	}
+	n.queue = nil
+	n.reportStreamOpened()
+	ready := n.proxy.nodeList.Ready(n.id)
+	for _, a := range nc.attempts {
+		if !ready || nc.addr != n.addr { // draining, or connected to an address that the node has left
+			a.step(attempt.Event{Kind: attempt.Cancelled})
+			continue
+		}
+		a.step(attempt.Event{Kind: attempt.Connected})
+	}
+}
+
+// Drained implements loop.Handler.
+func (nc *nodeConn) Drained(*loop.Conn) {}
+
+// Data implements loop.Handler. It reads messages.
+func (nc *nodeConn) Data(conn *loop.Conn, data []byte) {
+	p := nc.node.proxy
+	p.queueHealthEvent(health.Event{Kind: health.StreamActivity, Node: health.NodeID(nc.node.id)})
+	nc.lastUsed = p.loop.Now()
+	wasPartial := nc.reader.Partial()
+	err := nc.reader.Feed(data, func(msg *frame.Message) bool {
+		wasPartial = false // an incomplete message after this one is a new one
+		nc.handleMessage(msg)
+		return conn.Open()
+	})
+	if err != nil {
+		nc.closeMalformed(err)
+		return
+	}
+	if nc.reader.Partial() && !wasPartial {
+		nc.partialSince = p.loop.Now()
+	}
+}
+
+var errMalformed = errors.New("proxy: malformed message from a media node")
+
+// closeMalformed closes a connection after malformed input, since the start of the next message is unknown. Its set-ups
+// may have run, and a session whose answer was malformed plays. They are released on another connection, since a reset
+// of this one could lose what is written to it last.
+func (nc *nodeConn) closeMalformed(err error) {
+	p := nc.node.proxy
+	p.stats.Malformed++
+	p.log.Debug("malformed message from a media node", "host", nc.node.name, "error", err.Error())
+	nc.node.removeConn(nc)
+	nc.conn.Close(errMalformed)
+	for id := range nc.attempts {
+		nc.node.sendRelease(id, p.loop.Now())
+	}
+}
+
+// Closed implements loop.Handler. It passes the evidence of the end to the attempts on the connection, and repeats
+// releases that may be lost.
+func (nc *nodeConn) Closed(_ *loop.Conn, err error) {
+	n := nc.node
+	n.proxy.loop.Cancel(nc.connectTimer)
+	n.removeConn(nc)
+	if loop.IsConnRefused(err) { // no process runs there, so there is none to send messages to
+		n.queue = nil
+	}
+	if len(n.conns) == 0 {
+		n.proxy.queueHealthEvent(health.Event{Kind: health.StreamFailed, Node: health.NodeID(n.id),
+			ConnRefused: loop.IsConnRefused(err)})
+	} else if nc.established && err != nil && len(n.sessions) > 0 {
+		// A release that the media node wrote here may be lost. It repeats it on the next connection that is opened; as
+		// others are open already, none might be, and the session would stay in the table for good.
+		n.dial()
+	}
+	for id, a := range nc.attempts {
+		sent := a.machine.State() == attempt.StateSent
+		a.connClosed()
+		if sent && !loop.IsConnRefused(err) { // its answer may be lost, and then no viewer uses the session
+			n.sendRelease(id, n.proxy.loop.Now())
+		}
+	}
+	for _, r := range nc.recentReleases {
+		// ErrClosedByOwner: this side closed with nothing unsent, so the release has arrived.
+		if n.proxy.loop.Now()-r.firstSentAt <= releaseLossWindowMs && err != loop.ErrClosedByOwner {
+			n.sendRelease(r.id, r.firstSentAt)
+		}
+	}
+	nc.recentReleases = nil
+}
+
+// handleMessage carries out one message of a media node.
+func (nc *nodeConn) handleMessage(msg *frame.Message) {
+	p, node := nc.node.proxy, nc.node
+	switch msg.Type {
+	case frame.Answer:
+		if a := nc.attempts[msg.Session]; a != nil {
+			a.handleAnswer(msg.Get(frame.SDP))
+		}
+	case frame.Release:
+		report := p.parseReport(msg.Get(frame.Report))
+		if a := nc.attempts[msg.Session]; a != nil {
+			a.report = report
+			a.handleRelease(msg.Cause())
+		} else if s := node.sessions[msg.Session]; s != nil {
+			outcome := headmill.Reset
+			cause := int(msg.Cause())
+			switch cause {
+			case causeNormal:
+				outcome = headmill.Served
+			case causeCancelled:
+				outcome = headmill.Cancelled
+			}
+			p.sessionEnded(s, outcome, cause, report)
+		}
+		nc.conn.Write(frame.AppendReleased(nil, msg.Session))
+	case frame.Feedback:
+		nc.handleFeedback(msg)
+	case frame.Ping:
+		out, start := frame.Begin(nil, frame.Pong, msg.Session)
+		nc.conn.Write(frame.End(frame.AppendParameter(out, frame.Cause, []byte{1}), start))
+	}
+}
+
+// feedbackKinds translates the names that media nodes send.
+var feedbackKinds = map[string]headmill.FeedbackKind{"got": headmill.FeedbackRateShare, "level": headmill.FeedbackRung,
+	"port": headmill.FeedbackLinkLoad, "spine": headmill.FeedbackUplinkLoad}
+
+// handleFeedback passes feedback on a session to the module.
+func (nc *nodeConn) handleFeedback(msg *frame.Message) {
+	s := nc.node.sessions[msg.Session]
+	kind, ok := feedbackKinds[string(msg.Get(frame.FeedbackKind))]
+	value, err := strconv.ParseFloat(string(msg.Get(frame.FeedbackValue)), 64)
+	if !ok || err != nil || math.IsNaN(value) || math.IsInf(value, 0) || s == nil {
+		return
+	}
+	if kind == headmill.FeedbackRung && s.sentRung == rungUnknown {
+		s.sentRung = int(value)
+	}
+	nc.node.proxy.queueEvent(headmill.Event{Kind: headmill.EvFeedback, Session: s.moduleID, Node: nc.node.id,
+		Feedback: kind, Value: value})
+}
+
+// sweep closes connections with an overdue incomplete message and unused ones near their idle timeout. It drops the
+// state of media nodes that are no longer listed or long unused.
+func (n *mediaNode) sweep(now float64) {
+	for _, nc := range slices.Clone(n.conns) {
+		if nc.reader.Partial() && now-nc.partialSince > partialMessageTimeoutMs {
+			nc.closeMalformed(errors.New("timeout while waiting for the rest of a message"))
+		} else if nc.established && len(nc.attempts)+len(n.sessions) == 0 &&
+			nc.conn.Pending() == 0 && nc.nearIdleTimeout() {
+			n.removeConn(nc)
+			nc.conn.Close(loop.ErrClosedByOwner)
+		}
+	}
+	n.dialForQueue()
+	removed := !n.proxy.nodeList.Listed(n.id)
+	if removed && len(n.sessions) == 0 {
+		n.closeUnusedConns()
+	}
+	if len(n.conns) == 0 && len(n.sessions) == 0 && len(n.queue) == 0 && (removed || now-n.lastUsed > unusedNodeTTLMs) {
+		delete(n.proxy.nodes, n.id)
+	}
+}
--- /dev/null
+++ b/internal/platform/proxy/proxy.go
@@ -0,0 +1,430 @@
+// Package proxy is the director on the users' platform. It speaks JSON lines
+// with viewers, binary frames with media nodes and DNS with the discovery
+// service.
+//
+// It owns the sessions and all connections. It turns what arrives on sockets
+// into events for the decision modules, and carries out the actions that they
+// return. It makes no decision itself:
+//
+//	headmill          placement, rung, refusals and their retry advice
+//	decide/attempt    outcome of a set-up that was sent to a media node
+//	decide/discovery  which node list is valid
+//	decide/health     which sessions are lost with a media node
+//	decide/connmgr    which connections from viewers are kept
+//	decide/release    which connection carries the release of an ended session, and when it is repeated
+//	decide/shutdown   the steps of a stop
+//
+// A session passes these states:
+//
+//	state         meaning                                       next
+//	statePending  an attempt is out or about to be sent         playing: a media node has answered;
+//	                                                            ended: refused, failed or given up by its viewer
+//	statePlaying  the session plays at its media node           ending: its viewer ends it;
+//	                                                            ended: the media node ends it or is lost
+//	stateEnding   its viewer has ended it; the media node's     ended: that release has come,
+//	              release is awaited                            or endConfirmMs have passed
+//	stateEnded    removed from the session table                -
+package proxy
+
+import (
+	"log/slog"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"headmill"
+	"headmill/decide/attempt"
+	"headmill/decide/connmgr"
+	"headmill/decide/discovery"
+	"headmill/decide/health"
+	"headmill/decide/limits"
+	"headmill/decide/release"
+	"headmill/decide/shutdown"
+	"headmill/internal/loop"
+	"headmill/internal/platform/jsonline"
+	"headmill/internal/wire"
+)
+
+// Causes of releases (Q.850). The first three are refusals: a retry after them is harmless.
+const (
+	causeFull         = 34  // the media node has no capacity
+	causeCongested    = 42  // the director refuses
+	causeNeverRan     = 102 // the media node states that the set-up never ran
+	causeNormal       = 16  // the session has ended normally
+	causeCancelled    = 31  // the session was ended by its viewer
+	causeReset        = 41  // the session was cut off
+	causeError        = 47  // the set-up failed and may have run
+	causeMissingField = 96  // a required field is missing
+	causeInvalidField = 100 // a field has an unusable value
+)
+
+const (
+	// quotaMemoryDivisor is the part of limits.memory_mb that the descriptions of pending set-ups may hold, and once
+	// more the part that sessions may hold.
+	quotaMemoryDivisor = 8
+	// sessionEntryBytes is the memory that one session is counted as.
+	sessionEntryBytes = 1 << 10
+	// sweepIntervalMs is the time between checks of timeouts: a tenth of the second in which releases are due
+	// (PROTOCOL).
+	sweepIntervalMs = 100.0
+	// endConfirmMs is the time that a media node has for its release of a session that the viewer ended. The protocol
+	// does not require that release (PROTOCOL).
+	endConfirmMs = 400.0
+	// releaseRetentionMs is the time for which a release that no viewer has confirmed is kept (PROTOCOL, "The rules on
+	// sockets").
+	releaseRetentionMs = 8000.0
+	// releaseRetransmitMs is the time to wait for a confirmation before the release is repeated: a third of the second
+	// in which a viewer must be notified (PROTOCOL, "The rules on sockets").
+	releaseRetransmitMs = 333.0
+	// shutdownNoticeMs is the time after SIGTERM for which connections are still accepted: requests come for another
+	// 0.6 s, and all are served (DAYS, "New configurations and restarts").
+	shutdownNoticeMs = 1500.0
+	// maxDrainDeadlineMs is the longest class deadline that a stop waits for (DAYS, "New configurations and restarts").
+	maxDrainDeadlineMs = 3000.0
+	// drainMarginMs is the time beyond that deadline in which pending set-ups are answered: SIGKILL comes 700 ms beyond
+	// it (DAYS, "New configurations and restarts").
+	drainMarginMs = 550.0
+)
+
+// Stats counts events since the start.
+type Stats struct {
+	// Requests are set-ups passed to the decision module, Played those answered with a session, Refused and Failed those
+	// that the module refused or failed, Denied those refused at a memory limit without asking the module. ViewersLeft
+	// are set-ups given up by their viewers, InvalidRequests unusable set-ups and lines and connections closed for
+	// sending none, Lost sessions lost with their media nodes, Malformed unusable messages of media nodes, Attempts
+	// set-ups sent to media nodes, Opened sessions adopted because they already played.
+	Requests, Played, Refused, Denied, Failed, ViewersLeft, InvalidRequests, Lost, Malformed, Attempts, Opened int
+}
+
+// Proxy is one director. Except for Stop and Reload, its methods must be called on the goroutine of its event loop.
+type Proxy struct {
+	cfg           *Config
+	loop          *loop.Loop
+	log           *slog.Logger
+	module        *headmill.Controller
+	nodeList      *discovery.List
+	healthMonitor *health.Monitor
+	shutdown      *shutdown.Shutdown
+	discovery     discoveryClient
+	listener      *loop.Listener
+
+	events, spareEvents []headmill.Event // queued for the module, and the buffer of the batch before
+	healthEvents        []health.Event   // queued for the health monitor
+	actions             []headmill.Action
+	flushing            bool
+	unixOffsetMs        float64 // Unix time, ms, at which the loop's clock was 0
+
+	sessions           map[uint64]*session // by protocol id
+	sessionsByModuleID map[headmill.SessionID]*session
+	lastModuleID       headmill.SessionID
+	nodes              map[headmill.NodeID]*mediaNode
+	viewers            map[connmgr.ConnID]*viewer
+	lastConnID         connmgr.ConnID
+	connManager        *connmgr.Manager
+	closeActions       []connmgr.Action
+	quotas             limits.Quotas
+	retransmitter      *release.Retransmitter
+	nodeConnCount      int // open connections to all media nodes
+	pendingSetups      int // sessions in statePending
+	stopRequested      bool
+	skipDrain          bool
+	outBuf             []byte           // reused for outgoing messages
+	lineMsg            jsonline.Message // reused for incoming lines
+	stats              Stats
+	// Done is called once when the director has stopped.
+	Done func()
+}
+
+// New makes a director on an event loop. It serves once Start is called.
+func New(cfg *Config, eventLoop *loop.Loop, log *slog.Logger) (*Proxy, error) {
+	p := &Proxy{cfg: cfg, loop: eventLoop, log: log, sessions: map[uint64]*session{},
+		sessionsByModuleID: map[headmill.SessionID]*session{}, nodes: map[headmill.NodeID]*mediaNode{},
+		viewers: map[connmgr.ConnID]*viewer{}, Done: func() {}}
+	p.unixOffsetMs = float64(time.Now().UnixMicro())/1000 - eventLoop.Now()
+	var err error
+	if p.module, err = headmill.New(cfg.Module, cfg.Seed); err != nil {
+		return nil, err
+	}
+	module := &cfg.Module
+	p.nodeList = discovery.New(discovery.Config{MaxNodes: 4096, Cells: module.Cells, Kinds: len(cfg.Vocabulary.Kinds),
+		VersionsMayRestart: true})
+	p.healthMonitor = health.New(healthConfig(cfg))
+	p.shutdown = shutdown.New(shutdown.Config{NoticeMs: shutdownNoticeMs,
+		SetupDrainMs:   math.Min(slices.Max(cfg.DeadlineMs), maxDrainDeadlineMs) + drainMarginMs,
+		SessionDrainMs: math.Inf(1), EndConfirmMs: releaseRetentionMs})
+	p.connManager = connmgr.New(connmgr.Config{MaxConns: cfg.Sockets / 2, ReadTimeoutMs: readTimeoutMs,
+		IdleTimeoutMs: idleTimeoutMs})
+	maxReleases := 1 << 16
+	if quota := int64(cfg.MemoryMB * (1 << 20) / quotaMemoryDivisor); quota > 0 {
+		p.quotas.SetLimit(limits.Waiting, quota)
+		p.quotas.SetLimit(limits.Sessions, quota/sessionEntryBytes)
+		maxReleases = int(quota / sessionEntryBytes)
+	}
+	p.retransmitter = release.New(release.Config{RetentionMs: releaseRetentionMs, RetransmitMs: releaseRetransmitMs,
+		MaxPending: maxReleases}, p)
+	p.discovery.proxy = p
+	if err := eventLoop.SetLocalAddr(cfg.Listen); err != nil {
+		return nil, err
+	}
+	eventLoop.SetMaxLingering(cfg.Sockets / 16)
+	return p, nil
+}
+
+// healthConfig sets when a silent media node is probed with a connection, and when its sessions are given up.
+//
+// A media node sends a load report on one of its sessions every ReportIntervalMs, up to ReportDelayMs late. It counts as
+// silent after that time plus two connect timeouts, which cover the loop's own lateness. Where the settings define no
+// reports, the longest class deadline replaces the interval, since answers are the only sign of life.
+//
+// Whatever the settings say, viewers are notified of a lost session within the 8 s of the protocol. A media node that
+// merely has nothing to send proves that it is alive by accepting the connection.
+func healthConfig(cfg *Config) health.Config {
+	silence := cfg.Module.ReportIntervalMs + cfg.Module.ReportDelayMs + 2*cfg.ConnectMs
+	if cfg.Module.ReportIntervalMs == 0 {
+		silence = slices.Max(cfg.DeadlineMs)
+	}
+	silence = math.Min(silence, releaseRetentionMs/2)
+	return health.Config{StreamTimeoutMs: silence,
+		NodeTimeoutMs: silence + math.Min(3*cfg.ConnectMs, releaseRetentionMs/4), MinRetryMs: cfg.ConnectMs / 4, MaxRetryMs: 2 * cfg.ConnectMs, IdleTimeoutMs: cfg.KeepAliveMs / 3,
+		OpenTimeoutMs: cfg.ConnectMs + sweepIntervalMs/2}
+}
+
+// Start applies the configured node list, starts to query the discovery service and accepts viewers.
+func (p *Proxy) Start() error {
+	known, err := p.cfg.Snapshot.Message(p.cfg.Vocabulary)
+	if err != nil {
+		return err
+	}
+	if err := p.applyNodeList(&known); err != nil {
+		return err
+	}
+	p.flush()
+	if p.listener, err = p.loop.Listen(p.cfg.Listen, p.acceptViewer); err != nil {
+		return err
+	}
+	if err := p.discovery.connect(p.cfg.DNS); err != nil {
+		return err
+	}
+	p.loop.OnRound(p.flush)
+	p.loop.After(sweepIntervalMs, p.sweep)
+	return nil
+}
+
+// Addr returns the address listened on.
+func (p *Proxy) Addr() string { return p.listener.Addr() }
+
+// Stats returns the counters.
+func (p *Proxy) Stats() Stats { return p.stats }
+
+// Stop starts a graceful stop; a second call skips its waiting times. It may be called from any goroutine.
+func (p *Proxy) Stop() { p.loop.Post(func() { p.skipDrain = p.stopRequested; p.stopRequested = true }) }
+
+// Reload applies the address of the discovery service from a configuration that was read again. All other settings stay
+// as they were at the start. It may be called from any goroutine.
+func (p *Proxy) Reload(cfg *Config) {
+	p.loop.Post(func() {
+		if err := p.discovery.connect(cfg.DNS); err != nil {
+			p.log.Error("cannot use the new address of the discovery service; keeping the old one", "dns", cfg.DNS,
+				"error", err.Error())
+		}
+	})
+}
+
+// now returns the Unix time in ms: the clock of the modules and of the start times that the discovery service sends.
+func (p *Proxy) now() float64 { return p.unixOffsetMs + p.loop.Now() }
+
+// flush passes the queued events to the decision modules until none is left. It runs at the end of each round of the
+// loop, so that all that arrived in one round is decided as one batch, in its order.
+func (p *Proxy) flush() {
+	if p.flushing {
+		return
+	}
+	p.flushing = true
+	for len(p.events)+len(p.healthEvents) > 0 {
+		if batch := p.healthEvents; len(batch) > 0 {
+			p.healthEvents = nil
+			for _, action := range p.healthMonitor.Step(p.loop.Now(), batch, nil) {
+				p.applyHealthAction(action)
+			}
+		}
+		if batch := p.events; len(batch) > 0 {
+			p.events, p.spareEvents = p.spareEvents[:0], batch
+			p.actions = p.module.Step(p.now(), batch, p.actions[:0])
+			for i := range p.actions {
+				p.applyModuleAction(&p.actions[i])
+			}
+		}
+	}
+	p.flushing = false
+}
+
+// queueEvent queues an event for the decision module.
+func (p *Proxy) queueEvent(ev headmill.Event) { p.events = append(p.events, ev) }
+
+// queueHealthEvent queues an event for the health monitor.
+func (p *Proxy) queueHealthEvent(ev health.Event) { p.healthEvents = append(p.healthEvents, ev) }
+
+// applyNodeList validates a node list, passes it to the module and moves media nodes whose address has changed.
+func (p *Proxy) applyNodeList(list *discovery.Message) error {
+	ev, verdict, err := p.nodeList.Apply(p.now(), list)
+	if verdict == discovery.Accepted || len(ev.Nodes) > 0 {
+		p.queueEvent(ev)
+	}
+	if verdict == discovery.Accepted {
+		for i := range list.Entries {
+			entry := &list.Entries[i]
+			if n := p.nodes[discovery.NodeIDFromName(entry.Name)]; n != nil && n.addr != entry.Addr {
+				n.changeAddr(entry.Addr)
+			}
+		}
+	}
+	return err
+}
+
+// applyModuleAction carries out an action of the decision module. Every kind of action has a case.
+func (p *Proxy) applyModuleAction(action *headmill.Action) {
+	s := p.sessionsByModuleID[action.Session]
+	switch action.Kind {
+	case headmill.ActSetup:
+		if s != nil && s.state == statePending {
+			p.startAttempt(s, action.Node, action.AtMs)
+		} else { // its viewer left in the same round: the module must not wait for an attempt that is never made
+			p.queueEvent(headmill.Event{Kind: headmill.EvAttemptEnded, Session: action.Session, Node: action.Node,
+				Outcome: headmill.NeverSent, SessionOver: true})
+		}
+	case headmill.ActSetRung:
+		if s != nil {
+			s.rung = action.Rung
+			p.sendRung(s)
+		}
+	case headmill.ActRefuse:
+		if s != nil && s.state == statePending {
+			p.stats.Refused++
+			p.rejectSetup(s, causeCongested, action.RetryAfterMs)
+		}
+	case headmill.ActFail:
+		if s != nil && s.state == statePending {
+			p.stats.Failed++
+			p.rejectSetup(s, causeError, 0)
+		}
+	case headmill.ActTimer:
+		timer := action.Timer
+		p.loop.At(action.AtMs-p.unixOffsetMs, func() {
+			p.queueEvent(headmill.Event{Kind: headmill.EvTimer, Timer: timer})
+		})
+	case headmill.ActSubscribe: // nothing to do: the discovery service is queried all the time
+	case headmill.ActLog:
+		p.log.Warn(action.Text)
+	}
+}
+
+// applyHealthAction carries out an action of the health monitor.
+func (p *Proxy) applyHealthAction(action health.Action) {
+	n := p.nodes[headmill.NodeID(action.Node)]
+	if n == nil {
+		return
+	}
+	switch action.Kind {
+	case health.OpenStream:
+		n.ensureConn()
+	case health.CloseStream:
+		n.closeUnusedConns()
+	case health.SessionLost, health.EndOrphan:
+		if s := p.sessionsByModuleID[headmill.SessionID(action.Session)]; s != nil && s.state != statePending {
+			p.stats.Lost++
+			p.sessionEnded(s, headmill.Reset, causeReset, headmill.Report{})
+		}
+	case health.NodeDown:
+		p.log.Warn("media node is down; its sessions are given up", "host", n.name, "sessions", action.Count)
+	}
+}
+
+// parseReport reads a load report, NAME:VALUE;..., with the names from the settings.
+func (p *Proxy) parseReport(b []byte) headmill.Report {
+	text := string(b)
+	return wire.ReadReport(p.cfg.ReportFields, func(_ int, name string) (float64, bool) {
+		value, ok := namedValue(text, name)
+		number, err := strconv.ParseFloat(value, 64)
+		return number, ok && err == nil
+	})
+}
+
+// namedValue finds the value of a name in NAME:VALUE;...
+func namedValue(text, name string) (string, bool) {
+	for pair := range strings.SplitSeq(text, ";") {
+		if key, value, ok := strings.Cut(pair, ":"); ok && key == name {
+			return value, true
+		}
+	}
+	return "", false
+}
+
+// sweep checks timeouts and the progress of a stop. It runs every sweepIntervalMs.
+func (p *Proxy) sweep() {
+	p.loop.After(sweepIntervalMs, p.sweep)
+	now := p.loop.Now()
+	p.queueHealthEvent(health.Event{Kind: health.Tick})
+	p.stepConnManager(connmgr.Event{Kind: connmgr.Tick})
+	for _, n := range p.nodes {
+		n.sweep(now)
+	}
+	p.stepRetransmitter(release.Event{Kind: release.Tick})
+	for _, action := range p.shutdown.Step(now, shutdown.Status{StopRequested: p.stopRequested, SkipDrain: p.skipDrain,
+		PendingRequests: p.pendingSetups, PlayingSessions: len(p.sessions) - p.pendingSetups,
+		UnsentMessages: p.unsentMessages()}, nil) {
+		p.applyShutdownAction(action)
+	}
+}
+
+// applyShutdownAction carries out a step of a stop.
+func (p *Proxy) applyShutdownAction(action shutdown.Action) {
+	switch action {
+	case shutdown.RefuseNewSessions:
+		// Nothing is refused: clients can't know of the stop yet, so set-ups are served until the listener closes.
+	case shutdown.CloseListeners:
+		p.listener.StopAccepting()
+	case shutdown.FailPending:
+		for _, s := range p.sessions {
+			if s.state == statePending {
+				p.failSetup(s)
+			}
+		}
+	case shutdown.EndSessions:
+		// Nothing is ended: sessions play on at their media nodes, and the next start of this director adopts them.
+	case shutdown.CloseAllConnections:
+		p.Done()
+	}
+}
+
+// failSetup answers a set-up that a stop can't wait for any longer. The cause is an error and no refusal, since its
+// attempt may have run.
+func (p *Proxy) failSetup(s *session) {
+	p.stats.Failed++
+	a := s.attempt
+	p.queueEvent(headmill.Event{Kind: headmill.EvViewerLeft, Session: s.moduleID})
+	p.rejectSetup(s, causeError, 0)
+	if a != nil {
+		a.step(attempt.Event{Kind: attempt.Cancelled})
+	}
+}
+
+// unsentMessages counts what a stop waits for once all set-ups are answered: connections whose peers have not read what
+// was written, and releases that no viewer has confirmed.
+func (p *Proxy) unsentMessages() int {
+	count := p.retransmitter.Len()
+	for _, v := range p.viewers {
+		if v.conn.Pending() > 0 {
+			count++
+		}
+	}
+	for _, n := range p.nodes {
+		for _, nc := range n.conns {
+			if nc.conn.Pending() > 0 {
+				count++
+			}
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/platform/proxy/race_test.go
@@ -0,0 +1,423 @@
+package proxy
+
+import (
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"headmill/decide/connmgr"
+	"headmill/decide/discovery"
+	"headmill/decide/shutdown"
+	"headmill/internal/loop"
+	"headmill/internal/platform/frame"
+)
+
+// Tests of races between two events (docs/design/platform.md, "Where two events cross"). The loop is blocked while both
+// happen, so that the unfavourable order occurs each time.
+
+// waitForPeerClose waits until the peer's close has reached the kernel. It runs on the loop, which has not seen it yet.
+func waitForPeerClose(t *testing.T, conn *loop.Conn) {
+	for deadline := time.Now().Add(testTimeout); !conn.WriteClosed(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Error("the close does not arrive")
+			return
+		}
+	}
+}
+
+// A set-up and the close of its connection are read together: no attempt is made.
+func TestSetupAndCloseInOneRead(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	for range 5 { // later rounds have a connection to the media node already
+		v := h.dialViewer()
+		h.expectViewerConns(1)
+		h.runOnLoop(func() {
+			v.sendSetup(id1, "free", "1;top:0")
+			v.conn.Close()
+			for _, viewer := range h.proxy.viewers {
+				for deadline := time.Now().Add(testTimeout); unreadData(viewer.conn) == 0 &&
+					time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+				}
+			}
+			// The close follows the bytes; reading earlier only makes the test easier to pass.
+			time.Sleep(5 * time.Millisecond)
+		})
+		h.expectViewerConns(0)
+	}
+	if stats := h.stats(); stats.Attempts != 0 || stats.Requests != 5 || stats.ViewersLeft != 5 {
+		t.Fatalf("attempts for viewers that have left: %+v", stats)
+	}
+}
+
+// unreadData returns 1 if bytes wait to be read, else 0.
+func unreadData(conn *loop.Conn) int {
+	if conn.Idle() {
+		return 0
+	}
+	return 1
+}
+
+// An attempt waits for its connection; the connection opens and the viewer leaves in one round.
+func TestCloseWhileConnecting(t *testing.T) {
+	addr, listener := fullBacklogListener(t)
+	h := startHarness(t, 1, func(cfg *Config) { cfg.ConnectMs = 60000 })
+	h.setNodeList("ready", addr)
+	v := h.dialViewer()
+	v.sendSetup(id1, "free", "1;top:0")
+	h.waitFor("no attempt", func(stats Stats) bool { return stats.Attempts == 1 })
+	s := h.session(id1)
+	node := &standInNode{t: t, listener: listener, name: "hole", received: make(chan nodeMessage, 100)}
+	h.runOnLoop(func() {
+		v.conn.Close()
+		waitForPeerClose(t, s.viewer.conn)
+		go node.serve(listener)
+		for deadline := time.Now().Add(testTimeout); !s.attempt.conn.conn.Established(); time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Error("the connection is not established")
+				return
+			}
+		}
+	})
+	h.waitFor("the viewer's close is not noticed", func(stats Stats) bool { return stats.ViewersLeft == 1 })
+	other := h.dialViewer()
+	other.sendSetup(id2, "free", "1;top:0") // on the established connection, on which nothing was sent before
+	if got := node.expect(frame.Setup); got.id != 0xa2 {
+		t.Fatalf("an attempt was written after its viewer had left: %+v", got)
+	}
+}
+
+// A media node's answer and the viewer's close are read in one round: the session is released, since no viewer knows it.
+func TestAnswerAndClose(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "paid", "1;top:0")
+	node, setup := h.expectSetup()
+	pending := h.session(id1)
+	h.runOnLoop(func() {
+		v.conn.Close()
+		waitForPeerClose(t, pending.viewer.conn)
+		setup.sendAnswer("x")
+		for deadline := time.Now().Add(testTimeout); unreadData(pending.attempt.conn.conn) == 0 &&
+			time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		}
+	})
+	if msg := node.expect(frame.Release); msg.id != 0xa1 || msg.cause != causeNormal {
+		t.Fatalf("%+v", msg)
+	}
+	if stats := h.stats(); stats.Played != 0 || stats.ViewersLeft != 1 {
+		t.Fatalf("%+v", stats)
+	}
+}
+
+// The viewer connection fails before the whole answer is written: the session is released, since no viewer knows it.
+func TestAnswerThatNeverLeft(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	node, _ := h.playSession(v, id1)
+	s := h.session(id1)
+	h.runOnLoop(func() { s.answerEnd = s.viewer.conn.Written() + 1; s.viewer.conn.Close(loop.ErrSlowReader) })
+	if msg := node.expect(frame.Release); msg.id != 0xa1 {
+		t.Fatalf("%+v", msg)
+	}
+}
+
+// The media node's answer is lost with its connection: the session that may play there is released.
+func TestAnswerLostWithItsConnection(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "paid", "1;top:0")
+	node, _ := h.expectSetup()
+	node.resetConns()
+	if msg := node.expect(frame.Release); msg.id != 0xa1 || msg.cause != causeNormal {
+		t.Fatalf("%+v", msg)
+	}
+	if reply := v.receive(); reply.Cause != causeError {
+		t.Fatalf("%+v", reply)
+	}
+}
+
+// A connection that the kernel has accepted before the listener closes is served.
+func TestListenerClosesAfterAnAcceptedConnection(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	var v *viewerClient
+	h.runOnLoop(func() {
+		v = h.dialViewer()
+		v.sendSetup(id1, "free", "1;top:0")
+		h.proxy.applyShutdownAction(shutdown.CloseListeners)
+	})
+	_, setup := h.expectSetup()
+	setup.sendAnswer("x")
+	if reply := v.receive(); reply.Type != "answer" {
+		t.Fatalf("%+v", reply)
+	}
+	if conn, err := net.Dial("tcp4", h.addr); err == nil {
+		conn.Close()
+		t.Fatal("the listener is still open")
+	}
+}
+
+// Set-ups still pending at the end of a stop are answered as failed, and released at their media nodes.
+func TestStopFailsPendingSetups(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "free", "1;top:0")
+	node, _ := h.expectSetup()
+	h.runOnLoop(func() { h.proxy.applyShutdownAction(shutdown.FailPending) })
+	if reply := v.receive(); reply.Type != "release" || reply.Cause != causeError {
+		t.Fatalf("%+v", reply)
+	}
+	if msg := node.expect(frame.Release); msg.id != 0xa1 || h.sessionCount() != 0 {
+		t.Fatalf("%+v, %d sessions", msg, h.sessionCount())
+	}
+}
+
+// A stop waits for output that its peer has not read, and for releases that no viewer has confirmed.
+func TestUnsentMessages(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	_, setup := h.playSession(v, id1)
+	h.runOnLoop(func() {
+		conn := h.proxy.sessions[setup.id].viewer.conn
+		conn.SetLimit(0)
+		for big := make([]byte, 1<<20); conn.Pending() == 0; {
+			conn.Write(big)
+		}
+		if got := h.proxy.unsentMessages(); got != 1 {
+			t.Errorf("%d unsent, want 1: the viewer's output", got)
+		}
+	})
+	setup.sendRelease(causeNormal)
+	h.expectUnconfirmed(1)
+	h.runOnLoop(func() {
+		if got := h.proxy.unsentMessages(); got != 2 {
+			t.Errorf("%d unsent, want 2: the output and the release", got)
+		}
+	})
+}
+
+// A viewer that leaves while its attempt waits for a connection is no evidence against the media node, which goes on
+// to get attempts.
+func TestCancelledConnectDoesNotCountAgainstTheNode(t *testing.T) {
+	addr, _ := fullBacklogListener(t)
+	h := startHarness(t, 1, func(cfg *Config) { cfg.ConnectMs = 60000 })
+	h.setNodeList("ready", addr)
+	for i := range 3 {
+		v := h.dialViewer()
+		v.sendSetup(id1, "free", "1;top:0")
+		h.waitFor("the media node gets no further attempts", func(stats Stats) bool { return stats.Attempts == i+1 })
+		v.conn.Close()
+		h.expectViewerConns(0)
+	}
+}
+
+// No file descriptor is free when the discovery service moves: the existing socket is connected to the new address.
+func TestReloadWithoutADescriptor(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	other, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	h.runOnLoop(func() {
+		var limit unix.Rlimit
+		if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
+			t.Error(err)
+		}
+		free, _ := unix.Dup(0)
+		unix.Close(free)
+		unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(free), Max: limit.Max})
+		defer unix.Setrlimit(unix.RLIMIT_NOFILE, &limit)
+		if _, err := h.loop.DialPacket(other.LocalAddr().String(), func([]byte) {}); err == nil {
+			t.Error("a descriptor is free: the test proves nothing")
+		}
+		if err := h.proxy.discovery.connect(other.LocalAddr().String()); err != nil {
+			t.Error(err)
+		}
+	})
+	other.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, _, err := other.ReadFromUDP(make([]byte, 512)); err != nil {
+		t.Fatalf("the new address is not queried: %v", err)
+	}
+}
+
+// A new media node gets the address of a removed one: its answers are no evidence that the old one's sessions still play.
+func TestAddressReassignedToAnotherNode(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	node := h.adoptSession(v, id1)
+	node.anyConn()
+	h.runOnLoop(func() {
+		if err := h.proxy.applyNodeList(&discovery.Message{Version: 9, Full: true, Entries: []discovery.Entry{
+			{Name: "s-new", Addr: node.listener.Addr().String(), State: "ready", Weight: 1}}}); err != nil {
+			t.Error(err)
+		}
+	})
+	node.resetConns()
+	if reply := v.receive(); reply.Type != "release" || reply.ID != id1 || reply.Cause != causeReset {
+		t.Fatalf("%+v", reply)
+	}
+}
+
+// A release is written to a connection that the media node is just resetting: it is repeated on another one.
+func TestReleaseLostWithItsConnection(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	node, _ := h.playSession(v, id1)
+	s := h.session(id1)
+	h.runOnLoop(func() {
+		nc := s.node.conns[0]
+		node.resetConns()
+		waitForPeerClose(t, nc.conn)
+		h.proxy.endedByViewer(s)
+	})
+	if msg := node.expect(frame.Release); msg.id != 0xa1 || msg.cause != causeNormal {
+		t.Fatalf("%+v", msg)
+	}
+}
+
+// waitForClock waits until the loop's clock has advanced by a few ms, and returns its time.
+func (h *harness) waitForClock() (now float64) {
+	h.runOnLoop(func() { now = h.loop.Now() })
+	for was := now; now < was+5; h.runOnLoop(func() { now = h.loop.Now() }) {
+		time.Sleep(time.Millisecond)
+	}
+	return now
+}
+
+// Every read ends in the middle of the next line: the read timeout starts anew with each line.
+func TestFragmentsAcrossLines(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	_, setup := h.playSession(v, id1) // so that the connection has sent a set-up
+	setup.sendRelease(causeNormal)
+	v.receive()
+	line := `{"type":"ping","id":"x","fields":{},"cause":0}` + "\n"
+	fmt.Fprint(v.conn, line+line[:5])
+	v.receive()
+	first := h.waitForClock()
+	fmt.Fprint(v.conn, line[5:]+line[:5])
+	if reply := v.receive(); reply.Type != "pong" {
+		t.Fatalf("%+v", reply)
+	}
+	h.runOnLoop(func() {
+		if out := h.proxy.connManager.Step(first+readTimeoutMs, connmgr.Event{Kind: connmgr.Tick}, nil); len(out) > 0 {
+			t.Errorf("a connection is closed though its line is not overdue: %v", out)
+		}
+	})
+}
+
+// As TestFragmentsAcrossLines, for messages of a media node.
+func TestFragmentsAcrossMessages(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	node, setup := h.playSession(v, id1)
+	out, start := frame.Begin(nil, frame.Ping, 1)
+	out = frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), start)
+	fragment := append(out[3:len(out):len(out)], out[:3]...)
+	setup.conn.Write(append(out[:len(out):len(out)], out[:3]...))
+	node.expect(frame.Pong)
+	first := h.waitForClock()
+	setup.conn.Write(fragment)
+	node.expect(frame.Pong)
+	h.runOnLoop(func() {
+		if nc := h.proxy.sessions[setup.id].node.conns[0]; !nc.reader.Partial() || nc.partialSince < first {
+			t.Errorf("message is incomplete since %v, though it began after %v", nc.partialSince, first)
+		}
+	})
+}
+
+// A connection that its media node may be about to close as idle gets no set-up.
+func TestConnectionNearIdleTimeoutIsNotUsed(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	node, setup := h.playSession(v, id1)
+	h.runOnLoop(func() {
+		h.proxy.sessions[setup.id].node.conns[0].lastUsed -= h.proxy.cfg.KeepAliveMs - h.proxy.cfg.ConnectMs + 1
+	})
+	v.sendSetup(id2, "free", "1;top:0")
+	if got := node.expect(frame.Setup); got.id != 0xa2 || got.conn == setup.conn {
+		t.Fatalf("%+v: a set-up was sent on a connection near its idle timeout", got)
+	}
+}
+
+// A viewer names a session at a media node that is no longer listed, and closes its connection: the release goes out on
+// another connection.
+func TestReleaseOfUnlistedSessionOnAClosingConnection(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	a, b := h.dialViewer(), h.dialViewer()
+	h.playSession(b, id2)
+	h.expectViewerConns(2)
+	h.runOnLoop(func() {
+		a.sendExistingSession(id1, "s-77")
+		a.conn.Close()
+		for _, viewer := range h.proxy.viewers {
+			for deadline := time.Now().Add(testTimeout); len(viewer.playing) == 0 && unreadData(viewer.conn) == 0 &&
+				time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+			}
+		}
+	})
+	if reply := b.receive(); reply.Type != "release" || reply.ID != id1 || reply.Cause != causeReset {
+		t.Fatalf("%+v", reply)
+	}
+}
+
+// A connection that the director closes as idle has delivered all that was written to it: no release is repeated, and no
+// connection is opened for one.
+func TestIdleCloseRepeatsNoRelease(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	node, _ := h.playSession(v, id1)
+	mediaNode := h.session(id1).node
+	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
+	node.expect(frame.Release)
+	h.runOnLoop(mediaNode.closeUnusedConns)
+	h.runOnLoop(func() {}) // Closed is called after the round
+	h.runOnLoop(func() {
+		if len(mediaNode.conns)+len(mediaNode.queue) != 0 {
+			t.Errorf("%d connections, %d messages kept", len(mediaNode.conns), len(mediaNode.queue))
+		}
+	})
+}
+
+// A media node's release is lost with the connection that it was written on, while another one is open. The media node
+// repeats it on the next connection that is opened, so the director must open one.
+func TestReleaseLostWithOneOfTwoConnections(t *testing.T) {
+	h := startHarness(t, 1, nil)
+	v := h.dialViewer()
+	v.sendSetup(id1, "free", "1;top:0")
+	_, setupA := h.expectSetup()
+	v.sendSetup(id2, "free", "1;top:0")
+	node, setupB := h.expectSetup()
+	if setupA.conn == setupB.conn {
+		t.Fatal("two set-ups on one connection: the test proves nothing")
+	}
+	setupA.sendAnswer("x")
+	v.receive()
+	setupB.sendAnswer("x")
+	v.receive()
+	setupA.conn.(*net.TCPConn).SetLinger(0)
+	setupA.conn.Close()
+	newConn := func() (conn net.Conn) {
+		node.mu.Lock()
+		defer node.mu.Unlock()
+		if last := node.conns[len(node.conns)-1]; last != setupA.conn && last != setupB.conn {
+			conn = last
+		}
+		return conn
+	}
+	out, start := frame.Begin(nil, frame.Ping, 1)
+	out = frame.End(frame.AppendParameter(out, frame.Cause, []byte{0}), start)
+	for deadline := time.Now().Add(testTimeout); newConn() == nil; time.Sleep(5 * time.Millisecond) {
+		setupB.conn.Write(out) // keeps the other connection from counting as silent, which would open one too
+		if time.Now().After(deadline) {
+			t.Fatal("no further connection is opened")
+		}
+	}
+	newConn().Write(frame.AppendRelease(nil, setupA.id, causeNormal))
+	if reply := v.receive(); reply.Type != "release" || reply.ID != id1 {
+		t.Fatalf("%+v", reply)
+	}
+}
