--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -250,14 +250,17 @@
 func TestIdleConnectionClosed(t *testing.T) {
 	env := newTestEnv(t, 0, nil)
 	var node *scriptedNode
+	closed := make(chan struct{})
 	node = env.startScriptedNode(func(c net.Conn, setup int) {
 		node.writeCreated(c)
 		if setup == 1 {
 			c.Close() // after a complete answer: the pool has a dead connection
+			close(closed)
 		}
 	})
 	env.waitUntil("the media node is listed", func() bool { return env.onLoop(env.director.NodeCount) == 1 })
 	env.wantStatus("first", env.get("paid", env.token("paid", "a")), 200)
+	<-closed // the second request must come after the close: a set-up written before it may be reset
 	env.wantStatus("on a fresh connection", env.get("paid", env.token("paid", "b")), 200)
 	if n := node.setupCount(); n != 2 {
 		t.Fatalf("%d set-ups", n)
