--- a/internal/platform/proxy/attempt.go
+++ b/internal/platform/proxy/attempt.go
@@ -133,7 +133,7 @@
 	s, p := a.session, a.proxy
 	p.outBuf = jsonline.AppendAnswer(p.outBuf[:0], s.id, sdp)
 	if len(p.outBuf) > jsonline.MaxSize {
-		p.stats.Malformed++
+		p.stats.Spoilt++
 		a.conn.sendRelease(s.id, p.loop.Now())
 		a.endAsConnClosed()
 		return
--- a/internal/platform/proxy/medianode.go
+++ b/internal/platform/proxy/medianode.go
@@ -305,7 +305,7 @@
 // of this one could lose what is written to it last.
 func (nc *nodeConn) closeMalformed(err error) {
 	p := nc.node.proxy
-	p.stats.Malformed++
+	p.stats.Spoilt++
 	p.log.Debug("malformed message from a media node", "host", nc.node.name, "error", err.Error())
 	nc.node.removeConn(nc)
 	nc.conn.Close(errMalformed)
--- a/internal/platform/proxy/proxy.go
+++ b/internal/platform/proxy/proxy.go
@@ -88,14 +88,14 @@
 	drainMarginMs = 550.0
 )
 
-// Stats counts events since the start.
+// Stats counts events since the start. The "stopped" log line prints the struct, so the field names are part of it.
 type Stats struct {
-	// Requests are set-ups passed to the decision module, Played those answered with a session, Refused and Failed those
-	// that the module refused or failed, Denied those refused at a memory limit without asking the module. ViewersLeft
-	// are set-ups given up by their viewers, InvalidRequests unusable set-ups and lines and connections closed for
-	// sending none, Lost sessions lost with their media nodes, Malformed unusable messages of media nodes, Attempts
-	// set-ups sent to media nodes, Opened sessions adopted because they already played.
-	Requests, Played, Refused, Denied, Failed, ViewersLeft, InvalidRequests, Lost, Malformed, Attempts, Opened int
+	// Asked counts set-ups passed to the decision module, Played those answered with a session, Refused and Failed those
+	// that the module refused or failed, Denied those refused at a memory limit without asking the module. Left counts
+	// set-ups given up by their viewers, Bad unusable set-ups and lines and connections closed for sending none, Lost
+	// sessions lost with their media nodes, Spoilt malformed messages of media nodes, Attempts set-ups sent to media
+	// nodes, Opened sessions adopted because they already played.
+	Asked, Played, Refused, Denied, Failed, Left, Bad, Lost, Spoilt, Attempts, Opened int
 }
 
 // Proxy is one director. Except for Stop and Reload, its methods must be called on the goroutine of its event loop.
--- a/internal/platform/proxy/proxy_test.go
+++ b/internal/platform/proxy/proxy_test.go
@@ -194,7 +194,7 @@
 			}
 			setup.sendAnswer("too late")
 			h.waitFor("a session plays though its viewer has left",
-				func(stats Stats) bool { return stats.ViewersLeft == 1 && stats.Played == 0 })
+				func(stats Stats) bool { return stats.Left == 1 && stats.Played == 0 })
 		})
 	}
 }
@@ -320,7 +320,7 @@
 			t.Errorf("%v: %+v", change, reply)
 		}
 	}
-	if stats := h.stats(); stats.Requests != 0 || stats.Attempts != 0 {
+	if stats := h.stats(); stats.Asked != 0 || stats.Attempts != 0 {
 		t.Fatalf("an invalid set-up reached the module: %+v", stats)
 	}
 }
@@ -675,7 +675,7 @@
 			refused++
 		}
 	}
-	if stats := h.stats(); refused < setups/2 || stats.Requests+stats.Denied != setups || stats.Denied == 0 {
+	if stats := h.stats(); refused < setups/2 || stats.Asked+stats.Denied != setups || stats.Denied == 0 {
 		t.Fatalf("%d refused, %+v", refused, stats)
 	}
 	h.waitFor("quota is not returned", func(Stats) bool {
--- a/internal/platform/proxy/race_test.go
+++ b/internal/platform/proxy/race_test.go
@@ -47,7 +47,7 @@
 		})
 		h.expectViewerConns(0)
 	}
-	if stats := h.stats(); stats.Attempts != 0 || stats.Requests != 5 || stats.ViewersLeft != 5 {
+	if stats := h.stats(); stats.Attempts != 0 || stats.Asked != 5 || stats.Left != 5 {
 		t.Fatalf("attempts for viewers that have left: %+v", stats)
 	}
 }
@@ -81,7 +81,7 @@
 			}
 		}
 	})
-	h.waitFor("the viewer's close is not noticed", func(stats Stats) bool { return stats.ViewersLeft == 1 })
+	h.waitFor("the viewer's close is not noticed", func(stats Stats) bool { return stats.Left == 1 })
 	other := h.dialViewer()
 	other.sendSetup(id2, "free", "1;top:0") // on the established connection, on which nothing was sent before
 	if got := node.expect(frame.Setup); got.id != 0xa2 {
@@ -107,7 +107,7 @@
 	if msg := node.expect(frame.Release); msg.id != 0xa1 || msg.cause != causeNormal {
 		t.Fatalf("%+v", msg)
 	}
-	if stats := h.stats(); stats.Played != 0 || stats.ViewersLeft != 1 {
+	if stats := h.stats(); stats.Played != 0 || stats.Left != 1 {
 		t.Fatalf("%+v", stats)
 	}
 }
--- a/internal/platform/proxy/session.go
+++ b/internal/platform/proxy/session.go
@@ -114,7 +114,7 @@
 	}
 	v.pending[s] = struct{}{}
 	v.reportLoad()
-	p.stats.Requests++
+	p.stats.Asked++
 	p.pendingSetups++
 	p.queueEvent(ev)
 }
@@ -186,7 +186,7 @@
 func (p *Proxy) endedByViewer(s *session) {
 	switch s.state {
 	case statePending:
-		p.stats.ViewersLeft++
+		p.stats.Left++
 		p.queueEvent(headmill.Event{Kind: headmill.EvViewerLeft, Session: s.moduleID})
 		a := s.attempt
 		p.removeSession(s)
--- a/internal/platform/proxy/viewer.go
+++ b/internal/platform/proxy/viewer.go
@@ -62,7 +62,7 @@
 			v.conn.CloseWrite()
 		}
 		if action.Reason == connmgr.NoRequest || action.Reason == connmgr.IncompleteMessage {
-			p.stats.InvalidRequests++
+			p.stats.Bad++
 		}
 	}
 }
@@ -128,7 +128,7 @@
 
 // closeMalformed closes a connection after malformed input, since the start of the next message is unknown.
 func (v *viewer) closeMalformed(err error) {
-	v.proxy.stats.InvalidRequests++
+	v.proxy.stats.Bad++
 	v.proxy.log.Debug("malformed line from a viewer", "error", err.Error())
 	v.partialLine = nil
 	v.conn.CloseWrite()
@@ -190,7 +190,7 @@
 		// The id is in use. On another connection this is not the session's own viewer: the session goes on and only
 		// the new set-up is refused. On the same connection it is unclear which of the two is meant, so both end, with
 		// one answer.
-		p.stats.InvalidRequests++
+		p.stats.Bad++
 		if s.viewer == v {
 			p.endedByViewer(s)
 		}
@@ -199,7 +199,7 @@
 	}
 	request, cause := p.parseSetup(msg)
 	if cause != 0 {
-		p.stats.InvalidRequests++
+		p.stats.Bad++
 		p.log.Debug("invalid set-up", "id", msg.ID, "cause", cause, "fields", msg.Fields, "sdp", msg.HasSDP)
 		v.sendRelease(id, cause, 0)
 		return
