--- a/decide/quality/finding.go
+++ b/decide/quality/finding.go
@@ -7,198 +7,212 @@
 	"slices"
 )
 
-// Finding says that a group's sessions fall together, and on what evidence.
+// Finding names a group whose sessions are short together, with the evidence. A session is short if it receives less
+// than Config.ShortfallBelow of the rate that it needs, or if it stalls.
 type Finding struct {
 	GroupKey
-	Since, At                 float64
-	Ended                     bool // it has ended
-	Sessions, Short           int  // of the group
-	OtherSessions, OtherShort int  // of the others
-	Load                      float64
-	Score                     float64 // gain of log-likelihood over "all are alike"
+	Since, At                 float64 // when it was first and last detected; At is the time of the end once Ended
+	Ended                     bool
+	Sessions, Short           int     // in the group
+	OtherSessions, OtherShort int     // outside of the group
+	Load                      float64 // rate needed over rate received, of the group's short sessions
+	Score                     float64 // log-likelihood gain over the hypothesis that all sessions are alike
 }
 
-// String is the evidence in words.
+// String returns the evidence as text.
 func (f Finding) String() string {
 	if f.Ended {
 		return fmt.Sprintf("%s %d is over after %.1f s", f.Dim, f.ID, (f.At-f.Since)/1000)
 	}
-	return fmt.Sprintf("%s %d: %d of %d sessions short, elsewhere %d of %d; asked for about %.2f of what it gives", f.Dim, f.ID,
-		f.Short, f.Sessions, f.OtherShort, f.OtherSessions, f.Load)
+	return fmt.Sprintf("%s %d: %d of %d sessions short, elsewhere %d of %d; asked for about %.2f of what it gives",
+		f.Dim, f.ID, f.Short, f.Sessions, f.OtherShort, f.OtherSessions, f.Load)
 }
 
-type tally struct {
-	n, short int
-	share    float64        // sum over the short ones
-	parts    map[uint64]int // short ones by box, of a rack; by rack, of what is no place
+// groupTally counts the sessions of a group in one detection run.
+type groupTally struct {
+	sessions, short int
+	shareSum        float64        // sum of the short sessions' shares
+	shortByPart     map[uint64]int // short sessions of a rack by media node, of every other group by rack
 }
 
-// spread tells whether a group is short in more than one of its parts. Where all that is short of a title sits
-// on one box, the box is what is known to be short: a title is only blamed where it falls on two racks, a rack
-// where two of its boxes do.
-func (t *tally) spread(d Dimension) bool {
+// spansSeveralParts tells whether a group is short in more than one of its parts. If all short sessions of a title
+// are on one media node, the evidence points to the node. So a title, class, tenant or family is only blamed if it
+// is short on two racks, and a rack if two of its nodes are.
+func (tally *groupTally) spansSeveralParts(d Dimension) bool {
 	if d == ByNode {
 		return true
 	}
-	n := 0
-	for _, short := range t.parts {
+	parts := 0
+	for _, short := range tally.shortByPart {
 		if short >= 2 {
-			n++
+			parts++
 		}
 	}
-	return n >= 2
+	return parts >= 2
 }
 
-// look compares groups by what their sessions last saw. The group that explains most of what is short is taken
-// first; its sessions are set aside, and the rest is looked at again. So a rack that is squeezed is not also a
-// dozen bad titles, and a bad box is not a bad rack: the wider group would have to be short as a whole.
-func (q *Tracker) look() []Finding {
-	type one struct {
-		keys  [dims]GroupKey
+// detect compares groups by the last report of each of their sessions. The group that explains most of the shortfall
+// is taken first; its sessions are set aside, and the rest is examined again. So an overloaded rack is not also
+// reported as a dozen faulty titles, nor a faulty media node as its rack, which would have to be short as a whole.
+func (t *Tracker) detect() []Finding {
+	type sample struct {
+		keys  [dimensionCount]GroupKey
 		short bool
 		share float64
 	}
-	var all []one
-	ids := make([]uint64, 0, len(q.sessions))
-	for id := range q.sessions {
+	var samples []sample
+	ids := make([]uint64, 0, len(t.sessions))
+	for id := range t.sessions {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		s := q.sessions[id]
-		if s.at == 0 || s.ended > 0 || q.now-s.at > 2*q.cfg.WindowMs {
+		s := t.sessions[id]
+		if s.lastShareAt == 0 || s.endedAt > 0 || t.now-s.lastShareAt > 2*t.config.WindowMs {
 			continue
 		}
-		p := s.spanAt(s.at)
-		if last := &s.spans[len(s.spans)-1]; p == nil || last.Node != p.Node {
-			continue // it has moved since: what it saw is of another place
+		span := s.spanAt(s.lastShareAt)
+		if last := &s.spans[len(s.spans)-1]; span == nil || last.Node != span.Node {
+			continue // it has moved since, so its last report describes another place
 		}
-		all = append(all, one{s.keys(p.Place), s.short < q.cfg.ShortfallBelow, s.short})
+		samples = append(samples, sample{s.groupKeys(span.Place), s.lastShare < t.config.ShortfallBelow, s.lastShare})
 	}
-	hold := map[GroupKey]Finding{}
-	for range 4 { // more causes at a time than this are one cause that has no group
-		groups, whole := map[GroupKey]tally{}, tally{}
-		for _, o := range all {
-			whole.n++
-			if o.short {
-				whole.short++
+	detected := map[GroupKey]Finding{}
+	for range 4 { // more simultaneous causes than this are one cause that no group describes
+		groups, total := map[GroupKey]groupTally{}, groupTally{}
+		for _, smp := range samples {
+			total.sessions++
+			if smp.short {
+				total.short++
 			}
-			for _, k := range o.keys {
-				t := groups[k]
-				t.n++
-				if o.short {
-					t.short++
-					t.share += math.Max(o.share, 0.05)
-					if t.parts == nil {
-						t.parts = map[uint64]int{}
+			for _, key := range smp.keys {
+				tally := groups[key]
+				tally.sessions++
+				if smp.short {
+					tally.short++
+					tally.shareSum += math.Max(smp.share, 0.05) // bounds Load where next to nothing is received
+					if tally.shortByPart == nil {
+						tally.shortByPart = map[uint64]int{}
 					}
-					part := o.keys[ByRack].ID
-					if k.Dim == ByRack {
-						part = o.keys[ByNode].ID
+					part := smp.keys[ByRack].ID
+					if key.Dim == ByRack {
+						part = smp.keys[ByNode].ID
 					}
-					t.parts[part]++
+					tally.shortByPart[part]++
 				}
-				groups[k] = t
+				groups[key] = tally
 			}
 		}
-		best, ok := q.best(groups, whole)
-		if !ok {
+		best, found := t.bestFinding(groups, total)
+		if !found {
 			break
 		}
-		hold[best.GroupKey] = best
-		all = slices.DeleteFunc(all, func(o one) bool { return o.keys[best.Dim] == best.GroupKey })
+		detected[best.GroupKey] = best
+		samples = slices.DeleteFunc(samples, func(smp sample) bool { return smp.keys[best.Dim] == best.GroupKey })
 	}
-	return q.changes(hold)
+	return t.updateFindings(detected)
 }
 
-// best is the group with the largest gain that passes the bounds: most of it is short, most of the rest is not.
-func (q *Tracker) best(groups map[GroupKey]tally, whole tally) (Finding, bool) {
+// bestFinding returns the group with the largest gain among those that meet the bounds: the group and the rest have
+// MinSessions each, at least half of the group is short, at most a quarter of the rest is, and the shortfall is in
+// several parts of the group.
+func (t *Tracker) bestFinding(groups map[GroupKey]groupTally, total groupTally) (Finding, bool) {
 	var best Finding
 	found := false
-	for k, t := range groups {
-		rest := tally{n: whole.n - t.n, short: whole.short - t.short}
-		if t.n < q.cfg.MinSessions || rest.n < q.cfg.MinSessions || 2*t.short < t.n || 4*rest.short > rest.n ||
-			!t.spread(k.Dim) {
+	for key, tally := range groups {
+		rest := groupTally{sessions: total.sessions - tally.sessions, short: total.short - tally.short}
+		if tally.sessions < t.config.MinSessions || rest.sessions < t.config.MinSessions ||
+			2*tally.short < tally.sessions || 4*rest.short > rest.sessions || !tally.spansSeveralParts(key.Dim) {
 			continue
 		}
-		f := Finding{GroupKey: k, At: q.now, Sessions: t.n, Short: t.short, OtherSessions: rest.n, OtherShort: rest.short,
-			Score: gain(t, rest, whole), Load: float64(t.short) / t.share}
-		better := f.Score > best.Score+1e-9
-		if math.Abs(f.Score-best.Score) <= 1e-9 { // the same sessions by two names: the nearest cause, always the same one
-			better = f.Dim < best.Dim || f.Dim == best.Dim && f.ID < best.ID
+		finding := Finding{GroupKey: key, At: t.now, Sessions: tally.sessions, Short: tally.short,
+			OtherSessions: rest.sessions, OtherShort: rest.short,
+			Score: logLikelihoodGain(tally, rest, total), Load: float64(tally.short) / tally.shareSum}
+		better := finding.Score > best.Score+1e-9
+		// Equal scores are the same sessions grouped in two ways: the order of dimensions and IDs decides, so that
+		// every run names the same group.
+		if math.Abs(finding.Score-best.Score) <= 1e-9 {
+			better = finding.Dim < best.Dim || finding.Dim == best.Dim && finding.ID < best.ID
 		}
-		if f.Score >= q.cfg.MinScore && (!found || better) {
-			best, found = f, true
+		if finding.Score >= t.config.MinScore && (!found || better) {
+			best, found = finding, true
 		}
 	}
 	return best, found
 }
 
-// gain is the log-likelihood ratio (G-test) of two rates of shortness against one.
-func gain(a, b, both tally) float64 { return fit(a) + fit(b) - fit(both) }
+// logLikelihoodGain is the log-likelihood ratio (G-test) of two separate rates of short sessions, in a group and in
+// the rest, against one common rate.
+func logLikelihoodGain(group, rest, total groupTally) float64 {
+	return logLikelihood(group) + logLikelihood(rest) - logLikelihood(total)
+}
 
-func fit(t tally) float64 {
-	if t.n == 0 || t.short == 0 || t.short == t.n {
+// logLikelihood is the log-likelihood of a tally under its own rate of short sessions.
+func logLikelihood(tally groupTally) float64 {
+	if tally.sessions == 0 || tally.short == 0 || tally.short == tally.sessions {
 		return 0
 	}
-	p := float64(t.short) / float64(t.n)
-	return float64(t.short)*math.Log(p) + float64(t.n-t.short)*math.Log(1-p)
+	p := float64(tally.short) / float64(tally.sessions)
+	return float64(tally.short)*math.Log(p) + float64(tally.sessions-tally.short)*math.Log(1-p)
 }
 
-// holding is a cause that is not confirmed yet. A look in which it does not hold takes back what one in which it does
-// gives, no more: a rack that is short by a little wavers about the bound, and must not begin anew each time.
-type holding struct {
-	since float64
-	left  float64 // ms for which it must still hold
+// candidate is a cause that is not confirmed yet. A detection run that misses it takes back what a run that detects
+// it adds, and no more: a rack that is only a little short goes back and forth across the bound, and its
+// confirmation must not restart each time.
+type candidate struct {
+	since       float64
+	remainingMs float64 // time for which it must still be detected
 }
 
-// changes tells findings that began, and those that have been gone for two windows.
-func (q *Tracker) changes(hold map[GroupKey]Finding) (out []Finding) {
-	for k, f := range hold {
-		if old := q.found[k]; old != nil {
-			f.Since = old.Since
-			*old = f
+// updateFindings merges the result of a detection run into the candidates and the active findings. It returns the
+// findings that began, and those that ended because they were not detected for two windows.
+func (t *Tracker) updateFindings(detected map[GroupKey]Finding) (changed []Finding) {
+	for key, finding := range detected {
+		if active := t.activeFindings[key]; active != nil {
+			finding.Since = active.Since
+			*active = finding
 			continue
 		}
-		// One box of a squeezed rack may tell first: a cause is named once it has explained most for a while.
-		h := q.held[k]
-		if h == nil {
-			h = &holding{since: q.now, left: q.cfg.ConfirmMs + q.cfg.DetectIntervalMs}
-			q.held[k] = h
+		// The reports of one media node of an overloaded rack may arrive first: a cause is named only once it has
+		// explained most of the shortfall for ConfirmMs.
+		c := t.candidates[key]
+		if c == nil {
+			c = &candidate{since: t.now, remainingMs: t.config.ConfirmMs + t.config.DetectIntervalMs}
+			t.candidates[key] = c
 		}
-		f.Since = h.since
-		if h.left -= q.cfg.DetectIntervalMs; h.left > 0 {
+		finding.Since = c.since
+		if c.remainingMs -= t.config.DetectIntervalMs; c.remainingMs > 0 {
 			continue
 		}
-		delete(q.held, k)
-		q.found[k] = &f
-		out = append(out, f)
+		delete(t.candidates, key)
+		t.activeFindings[key] = &finding
+		changed = append(changed, finding)
 	}
-	for k, h := range q.held {
-		if _, ok := hold[k]; ok {
+	for key, c := range t.candidates {
+		if _, ok := detected[key]; ok {
 			continue
 		}
-		if h.left += q.cfg.DetectIntervalMs; h.left > q.cfg.ConfirmMs {
-			delete(q.held, k)
+		if c.remainingMs += t.config.DetectIntervalMs; c.remainingMs > t.config.ConfirmMs {
+			delete(t.candidates, key)
 		}
 	}
-	for k, f := range q.found {
-		if _, ok := hold[k]; !ok && q.now-f.At > 2*q.cfg.WindowMs {
-			f.Ended = true
-			f.At = q.now
-			out = append(out, *f)
-			delete(q.found, k)
+	for key, finding := range t.activeFindings {
+		if _, ok := detected[key]; !ok && t.now-finding.At > 2*t.config.WindowMs {
+			finding.Ended = true
+			finding.At = t.now
+			changed = append(changed, *finding)
+			delete(t.activeFindings, key)
 		}
 	}
-	slices.SortFunc(out, func(a, b Finding) int { return cmp.Or(cmp.Compare(a.Dim, b.Dim), cmp.Compare(a.ID, b.ID)) })
-	return out
+	slices.SortFunc(changed, func(a, b Finding) int { return cmp.Or(cmp.Compare(a.Dim, b.Dim), cmp.Compare(a.ID, b.ID)) })
+	return changed
 }
 
-// Findings are those in force, in order.
-func (q *Tracker) Findings() []Finding {
+// Findings returns the active findings, by dimension and ID.
+func (t *Tracker) Findings() []Finding {
 	var out []Finding
-	for _, f := range q.found {
-		out = append(out, *f)
+	for _, finding := range t.activeFindings {
+		out = append(out, *finding)
 	}
 	slices.SortFunc(out, func(a, b Finding) int { return cmp.Or(cmp.Compare(a.Dim, b.Dim), cmp.Compare(a.ID, b.ID)) })
 	return out
--- a/decide/quality/quality.go
+++ b/decide/quality/quality.go
@@ -1,11 +1,30 @@
-// Package quality works out the quality that viewers see from what their
-// players report, places each report with the rack, box, title, class and brand
-// where the session was at the report's time, and decides when a group of
-// sessions that fall together points to one cause: a squeezed rack, a bad box, a
-// bad title, a bad family of players.
+// Package quality measures the quality that viewers see, from the reports of
+// their players. It places each report with the rack, media node, title, class and
+// tenant where the session was at the report's time, aggregates the reports in
+// windows of event time, and detects when a group of sessions that degrade
+// together points to one cause: an overloaded rack, a faulty media node, a faulty
+// title or a faulty family of players.
 //
-// It is pure: facts with their times go in by Step, findings come out. Times are
-// ms on the director's clock; a player's clock is never trusted as it is.
+// The package is pure: it reads no clock and does no I/O. Input are events with
+// their times, passed to Tracker.Step; output are findings (Step, Findings) and
+// closed windows (TakeClosed). Times are ms on the director's clock. A player's
+// clock is never used as it is: its offset is estimated first.
+//
+// A window is in one of these states:
+//
+//	open    From + WindowMs is after the watermark (now - AllowedLatenessMs);
+//	        reports of its time are counted
+//	closed  the watermark has passed its end; reports of its time are
+//	        ReportTooLate; it waits for TakeClosed
+//
+// A group that is suspected as a cause is in one of these states:
+//
+//	candidate  detected, not yet confirmed; a detection run that finds it counts
+//	           towards ConfirmMs, one that does not counts back, and the
+//	           candidate is dropped once all progress is undone
+//	active     confirmed for ConfirmMs and returned by Step; each run that finds
+//	           it updates its evidence
+//	ended      not detected for two windows; returned by Step with Ended set
 package quality
 
 import (
@@ -14,7 +33,7 @@
 	"slices"
 )
 
-// Dim is a way to group sessions.
+// Dimension is a property by which sessions are grouped.
 type Dimension uint8
 
 // The dimensions.
@@ -24,35 +43,39 @@
 	ByTitle
 	ByClass
 	ByTenant
-	ByPlayerFamily // of players
-	dims
+	ByPlayerFamily
+	dimensionCount
 )
 
-var dimNames = [...]string{"rack", "box", "title", "class", "brand", "family"}
+var dimensionNames = [...]string{"rack", "box", "title", "class", "brand", "family"}
 
-func (d Dimension) String() string { return dimNames[d] }
+// String returns the dimension's name in messages, in the history and in evidence texts.
+func (d Dimension) String() string { return dimensionNames[d] }
 
-// Config has the times and bounds.
+// Config has the durations, bounds and weights of a Tracker.
 type Config struct {
 	WindowMs           float64   // length of a window of event time
-	AllowedLatenessMs  float64   // a window stays open for reports so late
-	MaxClockSkewMs     float64   // the most that a player's clock is taken to be wrong by
-	SessionRetentionMs float64   // how long an ended session's timeline is kept
-	MaxSpans           int       // of a session's timeline; older ones are merged
-	DedupWindow        int       // report numbers remembered for a session
-	MaxGroups          int       // groups in a window; reports of further ones count in the whole only
-	MaxBytes           int64     // of all timelines; over it ended ones are forgotten early, then new ones are not kept. 0: no bound
+	AllowedLatenessMs  float64   // time after its end for which a window accepts reports
+	MaxClockSkewMs     float64   // largest offset at which a player's clock is still used; 0: no bound
+	SessionRetentionMs float64   // time for which the timeline of an ended session is kept
+	MaxSpans           int       // spans of a session's timeline; beyond it the oldest are dropped. 0: no bound
+	DedupWindow        int       // reports per session that are remembered to detect duplicates
+	MaxGroups          int       // groups in a window; reports of further groups count in Window.Total only. 0: no bound
+	MaxBytes           int64     // memory of all timelines, see SetMaxBytes. 0: no bound
 	RungWorth          []float64 // quality of each rung
-	// Weights of the linear model (Yin, Jindal, Sekar, Sinopoli, SIGCOMM 2015, eq. 5), in quality units.
-	SwitchCost, StallCost, StartupCost float64 // for a unit of change, a second of stall, a second of start-up
-	ShortfallBelow                     float64 // a session whose rate got is under this part of the granted is short
-	DetectIntervalMs                   float64 // groups are compared so often
-	ConfirmMs                          float64 // a cause is named once it has explained most for so long
-	MinSessions                        int     // of a group, for a finding
-	MinScore                           float64 // log-likelihood gain of a finding
+
+	// Weights of the linear model (Yin, Jindal, Sekar, Sinopoli, SIGCOMM 2015, eq. 5), in units of quality:
+	// per unit of quality changed by a switch, per second of stall, per second of start-up.
+	SwitchCost, StallCost, StartupCost float64
+
+	ShortfallBelow   float64 // a session that receives less than this share of the rate it needs is short
+	DetectIntervalMs float64 // interval between detection runs
+	ConfirmMs        float64 // time for which a cause must be detected before it becomes a finding
+	MinSessions      int     // sessions that a group, and the rest, must have for a finding
+	MinScore         float64 // log-likelihood gain that a finding must have
 }
 
-// Key names a group.
+// GroupKey identifies a group of sessions.
 type GroupKey struct {
 	Dim Dimension
 	ID  uint64
@@ -61,249 +84,271 @@
 // EventKind tells which fields of an Event are set.
 type EventKind uint8
 
-// The events.
+// The kinds of events, with the fields that each sets.
 const (
-	SessionStarted EventKind = iota // Session, At, Place, Title, Class, Brand, Family, StartMs
-	SessionMoved                    // Session, At, Place: it plays elsewhere from then on
-	RungChanged                     // Session, At, Place.Rung, Place.KB
-	SessionEnded                    // Session, At
-	ReportReceived                  // Session, Seen
-	SessionAdopted                  // as Begun, for a session whose director died: its timeline before At is not known
+	// SessionStarted begins a session: Session, At, Place, Title, Class, Tenant, Family, StartupMs.
+	SessionStarted EventKind = iota
+	// SessionMoved tells that a session plays elsewhere from then on: Session, At, Place.
+	SessionMoved
+	// RungChanged tells that a session plays another rung: Session, At, Place.Rung, Place.RateKB.
+	RungChanged
+	// SessionEnded ends a session: Session, At.
+	SessionEnded
+	// ReportReceived delivers a player's report: Session, Report.
+	ReportReceived
+	// SessionAdopted sets the fields of SessionStarted, for a session that was taken over from a failed director:
+	// its timeline before At is not known.
+	SessionAdopted
 )
 
-// Place is where a session plays.
+// Place is where a session plays, and at which rate.
 type Place struct {
 	Rack, Node uint64
 	Rung       int
 	RateKB     float64 // kB/s granted
 }
 
-// Seen is one report of a player.
+// PlayerReport is one report of a player.
 type PlayerReport struct {
-	At          float64 // on the player's clock; NaN: it told none
+	At          float64 // on the player's clock; NaN: not reported
 	ArrivedAt   float64 // on the director's clock
-	Sequence    int64   // of the player's own count; -1: none
-	ReceivedKB  float64 // kB/s that arrived; NaN: not told
-	RequiredKB  float64 // kB/s of what it asked for; 0: not told, then the granted rate counts
-	StallMs     float64 // ms of stall since its last report
-	BufferEmpty bool    // it ran empty, for how long is not told
-	Rung        int     // that it played; -1: not told
-	Node        uint64  // the box that handed the report on: it was seen there; 0: it came straight
+	Sequence    int64   // number given by the player; -1: none
+	ReceivedKB  float64 // kB/s that arrived; NaN: not reported
+	RequiredKB  float64 // kB/s of the media requested; 0: not reported, then the granted rate counts
+	StallMs     float64 // duration of stalls since the player's last report
+	BufferEmpty bool    // the buffer ran empty, for a duration that is not reported
+	Rung        int     // the rung played; -1: not reported
+	Node        uint64  // the media node that forwarded the report, and that served it; 0: sent by the player itself
 }
 
-// Event is one fact.
+// Event is one input of Step.
 type Event struct {
 	Kind                         EventKind
 	Session                      uint64
 	At                           float64
 	Place                        Place
 	Title, Class, Tenant, Family uint64
-	StartupMs                    float64 // from the wish to play, where it is known
+	StartupMs                    float64 // from the request to the start of playback; 0: not known
 	Report                       PlayerReport
 }
 
-// Verdict tells what became of a report.
+// ReportStatus tells what became of a report.
 type ReportStatus uint8
 
-// The verdicts.
+// The statuses of a report.
 const (
 	ReportCounted        ReportStatus = iota
 	ReportDuplicate                   // it was counted before
-	ReportUnknownSession              // of a session never seen, or ended too long ago
-	ReportBeforeSession               // of a time before the session's known timeline
-	ReportTooLate                     // after the watermark
-	ReportInvalidTime                 // of a time that no clock error explains
-	verdicts
+	ReportUnknownSession              // the session was never seen, is not tracked, or ended too long ago
+	ReportBeforeSession               // its time is before the session's known timeline
+	ReportTooLate                     // the watermark has passed its window
+	ReportInvalidTime                 // no clock offset explains its time
+	reportStatusCount
 )
 
-var verdictNames = [...]string{"counted", "doubled", "unknown", "before", "too_late", "broken"}
+var reportStatusNames = [...]string{"counted", "doubled", "unknown", "before", "too_late", "broken"}
 
-func (v ReportStatus) String() string { return verdictNames[v] }
+// String returns the status's name in metrics and messages.
+func (s ReportStatus) String() string { return reportStatusNames[s] }
 
-// span is a part of a session's timeline with one place and rung.
-type span struct {
-	from float64
+// timelineSpan is a part of a session's timeline with one place and rung. It lasts until the next span starts.
+type timelineSpan struct {
+	startAt float64
 	Place
 }
 
+// session is a session's timeline and the state derived from its reports.
 type session struct {
-	spans                       []span
-	title, class, brand, family uint64
-	ended                       float64 // 0: it plays
-	partly                      bool    // its timeline before the first span is not known
-	skew                        float64 // added to the player's clock
-	clocked                     bool
-	seen                        []uint64 // marks of reports counted, a ring
-	next                        int
-	last                        float64 // event time of the last report
-	rung                        int     // played at the last report
-	need                        float64 // kB/s asked for at the last report
-	short                       float64 // part of the granted rate that it got, at short's time
-	at                          float64
+	spans                              []timelineSpan // by startAt, ascending; never empty
+	title, class, tenant, playerFamily uint64
+	endedAt                            float64  // 0: it plays
+	truncated                          bool     // the timeline before the first span is not known
+	clockOffsetMs                      float64  // added to the player's clock to get the director's time
+	hasClockOffset                     bool     // clockOffsetMs is set
+	recentReports                      []uint64 // ring of the dedup keys of counted reports
+	nextRecent                         int      // index in recentReports that is overwritten next
+	lastReportAt                       float64  // event time of the last report
+	lastRung                           int      // rung played at the last report; -1: none yet
+	lastRequiredKB                     float64  // RequiredKB of the last report
+	lastShare                          float64  // share of the required rate that it received, at lastShareAt
+	lastShareAt                        float64  // 0: no share known yet
 }
 
-// Quality is the state.
+// Tracker keeps the sessions' timelines, the windows and the findings. It is not safe for concurrent use.
 type Tracker struct {
-	cfg      Config
-	now      float64
-	sessions map[uint64]*session
-	open     []*Window // by start, rising
-	closed   []*Window // not yet taken
-	counts   [verdicts]uint64
-	bytes    int64    // of timelines, about
-	over     []uint64 // ended sessions, the longest ended first
-	unkept   uint64   // sessions for which there was no room
-	late     float64  // the most that a report came too late by
-	swept    float64
-	looked   float64
-	found    map[GroupKey]*Finding
-	held     map[GroupKey]*holding // causes that are not confirmed yet
+	config          Config
+	now             float64
+	sessions        map[uint64]*session
+	openWindows     []*Window // by From, ascending
+	closedWindows   []*Window // not yet taken
+	reportCounts    [reportStatusCount]uint64
+	timelineBytes   int64    // estimated memory of the timelines
+	endedSessions   []uint64 // in the order in which they ended
+	untracked       uint64   // sessions that were not tracked because MaxBytes was reached
+	maxLatenessMs   float64  // largest lateness of a report that was too late
+	lastSweepAt     float64  // when expired sessions were last removed
+	lastDetectionAt float64
+	activeFindings  map[GroupKey]*Finding
+	candidates      map[GroupKey]*candidate // causes that are not confirmed yet
 }
 
-// New makes an empty state.
-func New(cfg Config) *Tracker {
-	return &Tracker{cfg: cfg, sessions: map[uint64]*session{}, found: map[GroupKey]*Finding{}, held: map[GroupKey]*holding{}}
+// New returns an empty Tracker.
+func New(config Config) *Tracker {
+	return &Tracker{config: config, sessions: map[uint64]*session{}, activeFindings: map[GroupKey]*Finding{},
+		candidates: map[GroupKey]*candidate{}}
 }
 
-// Counts tells how many reports had each verdict.
-func (q *Tracker) Counts() map[ReportStatus]uint64 {
+// Counts returns how many reports had each status.
+func (t *Tracker) Counts() map[ReportStatus]uint64 {
 	out := map[ReportStatus]uint64{}
-	for v, n := range q.counts {
-		out[ReportStatus(v)] = n
+	for status, count := range t.reportCounts {
+		out[ReportStatus(status)] = count
 	}
 	return out
 }
 
-// Sessions is the number of timelines kept.
-func (q *Tracker) Sessions() int { return len(q.sessions) }
+// Sessions returns the number of timelines kept.
+func (t *Tracker) Sessions() int { return len(t.sessions) }
 
-// What a timeline takes, about: the entry with its place in the table, each span, each mark of a report.
+// Estimated memory of a timeline, in bytes: the session with its map entry, each span, each dedup key.
 const (
-	sessionBytes = 320
-	spanBytes    = 48
-	markBytes    = 8
+	sessionBytes  = 320
+	spanBytes     = 48
+	dedupKeyBytes = 8
 )
 
-// Bytes is what the timelines take, about.
-func (q *Tracker) Bytes() int64 { return q.bytes }
+// Bytes returns the estimated memory of the timelines.
+func (t *Tracker) Bytes() int64 { return t.timelineBytes }
 
-// SetMaxBytes changes the bound on timelines. One below what they take forgets ended ones at the next session.
-func (q *Tracker) SetMaxBytes(n int64) { q.cfg.MaxBytes = n }
+// SetMaxBytes changes the bound on the memory of timelines. When a new session would exceed it, the timelines of
+// ended sessions are removed first, the longest ended before the others; if that is not enough, the new session is
+// not tracked. A bound below the memory in use takes effect at the next new session.
+func (t *Tracker) SetMaxBytes(n int64) { t.config.MaxBytes = n }
 
-// Unkept counts the sessions that had no timeline because there was no room.
-func (q *Tracker) Untracked() uint64 { return q.unkept }
+// Untracked returns the number of sessions that were not tracked because MaxBytes was reached.
+func (t *Tracker) Untracked() uint64 { return t.untracked }
 
-func (s *session) bytes() int64 {
-	return sessionBytes + spanBytes*int64(len(s.spans)) + markBytes*int64(len(s.seen))
+// memoryBytes estimates the memory of the session's timeline.
+func (s *session) memoryBytes() int64 {
+	return sessionBytes + spanBytes*int64(len(s.spans)) + dedupKeyBytes*int64(len(s.recentReports))
 }
 
-func (q *Tracker) forget(id uint64) {
-	if s := q.sessions[id]; s != nil {
-		q.bytes -= s.bytes()
-		delete(q.sessions, id)
+func (t *Tracker) removeSession(id uint64) {
+	if s := t.sessions[id]; s != nil {
+		t.timelineBytes -= s.memoryBytes()
+		delete(t.sessions, id)
 	}
 }
 
-// makeRoom forgets ended sessions, the longest ended first, until one more fits; false where none is left to forget.
-// A flood of ended sessions so never takes the place of those that play, and those that play are never forgotten.
-func (q *Tracker) makeRoom() bool {
-	const one = sessionBytes + spanBytes
-	if q.cfg.MaxBytes <= 0 {
+// evictForNewSession removes ended sessions, the longest ended first, until a new one fits. It returns false if none
+// is left to remove. Sessions that play are never removed, so that a flood of short sessions can't displace them.
+func (t *Tracker) evictForNewSession() bool {
+	const newSessionBytes = sessionBytes + spanBytes
+	if t.config.MaxBytes <= 0 {
 		return true
 	}
-	for q.bytes+one > q.cfg.MaxBytes && len(q.over) > 0 {
-		id := q.over[0]
-		q.over = q.over[1:]
-		if s := q.sessions[id]; s != nil && s.ended > 0 {
-			q.forget(id)
+	for t.timelineBytes+newSessionBytes > t.config.MaxBytes && len(t.endedSessions) > 0 {
+		id := t.endedSessions[0]
+		t.endedSessions = t.endedSessions[1:]
+		if s := t.sessions[id]; s != nil && s.endedAt > 0 {
+			t.removeSession(id)
 		}
 	}
-	return q.bytes+one <= q.cfg.MaxBytes
+	return t.timelineBytes+newSessionBytes <= t.config.MaxBytes
 }
 
-// Step takes events in the order in which they came and returns findings that began or ended.
-func (q *Tracker) Step(now float64, events []Event) []Finding {
-	q.now = now
+// Step applies events in the order in which they arrived and returns the findings that began or ended.
+func (t *Tracker) Step(now float64, events []Event) []Finding {
+	t.now = now
 	for i := range events {
-		ev := &events[i]
-		switch ev.Kind {
+		event := &events[i]
+		switch event.Kind {
 		case ReportReceived:
-			q.counts[q.report(ev)]++
+			t.reportCounts[t.recordReport(event)]++
 		case SessionStarted, SessionAdopted:
-			q.begin(ev)
+			t.startSession(event)
 		default:
-			q.change(ev)
+			t.updateSession(event)
 		}
 	}
-	q.pass()
-	if now-q.looked < q.cfg.DetectIntervalMs {
+	t.advanceWatermark()
+	if now-t.lastDetectionAt < t.config.DetectIntervalMs {
 		return nil
 	}
-	q.looked = now
-	return q.look()
+	t.lastDetectionAt = now
+	return t.detect()
 }
 
-func (q *Tracker) begin(ev *Event) {
-	if s := q.sessions[ev.Session]; s != nil { // begun again, or told by two ways: the timeline goes on
-		s.ended = 0
-		q.place(s, ev.At, ev.Place)
+// startSession begins a timeline and counts the start-up time.
+func (t *Tracker) startSession(event *Event) {
+	// The session started again, or its start was reported twice: the timeline continues.
+	if s := t.sessions[event.Session]; s != nil {
+		s.endedAt = 0
+		t.insertSpan(s, event.At, event.Place)
 		return
 	}
-	if !q.makeRoom() {
-		q.unkept++
+	if !t.evictForNewSession() {
+		t.untracked++
 		return
 	}
-	s := &session{title: ev.Title, class: ev.Class, brand: ev.Tenant, family: ev.Family, partly: ev.Kind == SessionAdopted,
-		spans: []span{{ev.At, ev.Place}}, rung: -1, last: ev.At}
-	q.sessions[ev.Session] = s
-	q.bytes += s.bytes()
-	if ev.StartupMs > 0 && ev.Kind == SessionStarted {
-		if w := q.window(ev.At); w != nil {
-			w.start(q, s, &s.spans[0], ev.StartupMs)
+	s := &session{title: event.Title, class: event.Class, tenant: event.Tenant, playerFamily: event.Family,
+		truncated: event.Kind == SessionAdopted, spans: []timelineSpan{{event.At, event.Place}}, lastRung: -1,
+		lastReportAt: event.At}
+	t.sessions[event.Session] = s
+	t.timelineBytes += s.memoryBytes()
+	if event.StartupMs > 0 && event.Kind == SessionStarted {
+		if w := t.openWindowFor(event.At); w != nil {
+			w.recordStartup(t, s, &s.spans[0], event.StartupMs)
 		}
 	}
 }
 
-func (q *Tracker) change(ev *Event) {
-	s := q.sessions[ev.Session]
+// updateSession applies a move, a change of rung or an end.
+func (t *Tracker) updateSession(event *Event) {
+	s := t.sessions[event.Session]
 	if s == nil {
 		return
 	}
-	switch ev.Kind {
+	switch event.Kind {
 	case SessionMoved:
-		q.place(s, ev.At, ev.Place)
+		t.insertSpan(s, event.At, event.Place)
 	case RungChanged:
-		p := s.spans[len(s.spans)-1].Place
-		p.Rung, p.RateKB = ev.Place.Rung, ev.Place.RateKB
-		q.place(s, ev.At, p)
+		place := s.spans[len(s.spans)-1].Place
+		place.Rung, place.RateKB = event.Place.Rung, event.Place.RateKB
+		t.insertSpan(s, event.At, place)
 	case SessionEnded:
-		if s.ended == 0 {
-			q.over = append(q.over, ev.Session)
+		if s.endedAt == 0 {
+			t.endedSessions = append(t.endedSessions, event.Session)
 		}
-		s.ended = ev.At
+		s.endedAt = event.At
 	}
 }
 
-// place adds a span. Changes can be told out of order: the timeline is kept by time.
-func (q *Tracker) place(s *session, at float64, p Place) {
-	i, same := slices.BinarySearchFunc(s.spans, at, func(x span, t float64) int { return cmp.Compare(x.from, t) })
-	if same {
-		s.spans[i].Place = p
+// insertSpan adds a span to a timeline. Events can arrive out of order: the spans are kept sorted by time.
+func (t *Tracker) insertSpan(s *session, at float64, place Place) {
+	i, exists := slices.BinarySearchFunc(s.spans, at, func(span timelineSpan, at float64) int {
+		return cmp.Compare(span.startAt, at)
+	})
+	if exists {
+		s.spans[i].Place = place
 		return
 	}
-	q.bytes -= s.bytes()
-	defer func() { q.bytes += s.bytes() }()
-	s.spans = slices.Insert(s.spans, i, span{at, p})
-	if n := q.cfg.MaxSpans; n > 0 && len(s.spans) > n { // the oldest are merged; what they knew is said to be lost
-		s.spans = slices.Delete(s.spans, 0, len(s.spans)-n)
-		s.partly = true
+	t.timelineBytes -= s.memoryBytes()
+	defer func() { t.timelineBytes += s.memoryBytes() }()
+	s.spans = slices.Insert(s.spans, i, timelineSpan{at, place})
+	// Beyond MaxSpans the oldest spans are dropped, and the beginning of the timeline is marked as not known.
+	if limit := t.config.MaxSpans; limit > 0 && len(s.spans) > limit {
+		s.spans = slices.Delete(s.spans, 0, len(s.spans)-limit)
+		s.truncated = true
 	}
 }
 
-// spanAt finds where the session was at a time; nil before its known timeline.
-func (s *session) spanAt(at float64) *span {
-	i, same := slices.BinarySearchFunc(s.spans, at, func(x span, t float64) int { return cmp.Compare(x.from, t) })
-	if !same {
+// spanAt returns the span in which a time falls; nil before the known timeline.
+func (s *session) spanAt(at float64) *timelineSpan {
+	i, exists := slices.BinarySearchFunc(s.spans, at, func(span timelineSpan, at float64) int {
+		return cmp.Compare(span.startAt, at)
+	})
+	if !exists {
 		i--
 	}
 	if i < 0 {
@@ -312,209 +357,215 @@
 	return &s.spans[i]
 }
 
-// nearest finds the span at a box that is closest to a time.
-func (s *session) nearest(at float64, box uint64) *span {
-	best, least := (*span)(nil), math.Inf(1)
+// nearestSpanAtNode returns the span at a media node that is closest to a time; nil if the session was never there.
+func (s *session) nearestSpanAtNode(at float64, node uint64) *timelineSpan {
+	nearest, minDistance := (*timelineSpan)(nil), math.Inf(1)
 	for i := range s.spans {
-		if s.spans[i].Node != box {
+		if s.spans[i].Node != node {
 			continue
 		}
-		to := math.Inf(1)
+		end := math.Inf(1)
 		if i+1 < len(s.spans) {
-			to = s.spans[i+1].from
+			end = s.spans[i+1].startAt
 		}
-		if d := math.Max(math.Max(s.spans[i].from-at, at-to), 0); d < least {
-			best, least = &s.spans[i], d
+		if distance := math.Max(math.Max(s.spans[i].startAt-at, at-end), 0); distance < minDistance {
+			nearest, minDistance = &s.spans[i], distance
 		}
 	}
-	return best
+	return nearest
 }
 
-// report places one report by its own time.
-func (q *Tracker) report(ev *Event) ReportStatus {
-	s, r := q.sessions[ev.Session], &ev.Report
+// recordReport counts one report in the window and the place of its event time.
+func (t *Tracker) recordReport(event *Event) ReportStatus {
+	s, report := t.sessions[event.Session], &event.Report
 	if s == nil {
 		return ReportUnknownSession
 	}
-	at, ok := q.clock(s, r)
-	if !ok {
+	at, valid := t.directorTime(s, report)
+	if !valid {
 		return ReportInvalidTime
 	}
-	if q.doubled(s, r) {
+	if t.isDuplicate(s, report) {
 		return ReportDuplicate
 	}
-	if s.ended > 0 {
-		at = math.Min(at, s.ended) // what it saw last was seen while it played
+	if s.endedAt > 0 {
+		at = math.Min(at, s.endedAt) // a report that arrives after the end describes playback before it
 	}
-	if at < q.watermark()-q.cfg.WindowMs {
-		q.late = math.Max(q.late, q.watermark()-at)
+	if at < t.watermark()-t.config.WindowMs {
+		t.maxLatenessMs = math.Max(t.maxLatenessMs, t.watermark()-at)
 		return ReportTooLate
 	}
-	p := s.spanAt(at)
-	if r.Node != 0 && (p == nil || p.Node != r.Node) { // near a move the box knows better than a clock
-		if near := s.nearest(at, r.Node); near != nil {
-			p = near
+	span := s.spanAt(at)
+	// Near a move the media node that forwarded the report is more reliable than the estimated time.
+	if report.Node != 0 && (span == nil || span.Node != report.Node) {
+		if nearest := s.nearestSpanAtNode(at, report.Node); nearest != nil {
+			span = nearest
 		}
 	}
-	if p == nil {
-		if s.partly || at < s.spans[0].from-q.cfg.WindowMs {
+	if span == nil {
+		if s.truncated || at < s.spans[0].startAt-t.config.WindowMs {
 			return ReportBeforeSession
 		}
-		p = &s.spans[0] // a clock a little behind, at the very start
-		at = p.from
+		span = &s.spans[0] // the estimated time is slightly before the session's start
+		at = span.startAt
 	}
-	w := q.window(at)
+	w := t.openWindowFor(at)
 	if w == nil {
-		q.late = math.Max(q.late, q.watermark()-at)
+		t.maxLatenessMs = math.Max(t.maxLatenessMs, t.watermark()-at)
 		return ReportTooLate
 	}
-	q.remember(s, r)
-	w.report(q, s, p, r, at)
+	t.rememberReport(s, report)
+	w.recordReport(t, s, span, report, at)
 	return ReportCounted
 }
 
-// clock turns the player's time into the director's. The smallest difference between arrival and the player's
-// time that was ever seen is the skew and the fastest way together; a report can't have been seen after it
-// arrived.
-func (q *Tracker) clock(s *session, r *PlayerReport) (float64, bool) {
-	if math.IsNaN(r.At) || math.IsInf(r.At, 0) {
-		return r.ArrivedAt, true
+// directorTime converts a report's time to the director's clock. The smallest difference seen so far between arrival
+// and the player's time is taken as the offset: it is the clock's skew plus the shortest network delay. The result
+// is never after the arrival. It is false for a time that no clock offset explains.
+func (t *Tracker) directorTime(s *session, report *PlayerReport) (float64, bool) {
+	if math.IsNaN(report.At) || math.IsInf(report.At, 0) {
+		return report.ArrivedAt, true
 	}
-	d := r.ArrivedAt - r.At
-	if !s.clocked || d < s.skew {
-		s.skew, s.clocked = d, true
+	offset := report.ArrivedAt - report.At
+	if !s.hasClockOffset || offset < s.clockOffsetMs {
+		s.clockOffsetMs, s.hasClockOffset = offset, true
 	}
-	// A clock that is more wrong than allowed is not a clock: what it says of the order of reports is kept, but
-	// a player that jumps is told apart by the bound.
-	if math.Abs(s.skew) > q.cfg.MaxClockSkewMs && q.cfg.MaxClockSkewMs > 0 {
-		return r.ArrivedAt, true
+	// A clock whose skew exceeds the bound is not used; the arrival time takes its place.
+	if math.Abs(s.clockOffsetMs) > t.config.MaxClockSkewMs && t.config.MaxClockSkewMs > 0 {
+		return report.ArrivedAt, true
 	}
-	at := math.Min(r.At+s.skew, r.ArrivedAt)
-	return at, at > r.ArrivedAt-10*q.cfg.AllowedLatenessMs-q.cfg.MaxClockSkewMs
+	at := math.Min(report.At+s.clockOffsetMs, report.ArrivedAt)
+	// A time much further back than any delay, even with a clock at the bound, means that the player's clock jumped.
+	return at, at > report.ArrivedAt-10*t.config.AllowedLatenessMs-t.config.MaxClockSkewMs
 }
 
-// mark is what a report is known by: its number, else its time and content.
-func (r *PlayerReport) mark() uint64 {
+// dedupKey identifies a report within its session: by its sequence number, else by a hash of its time and content.
+func (r *PlayerReport) dedupKey() uint64 {
 	if r.Sequence >= 0 {
 		return uint64(r.Sequence)<<1 | 1
 	}
-	h := math.Float64bits(r.At)*0x9e3779b97f4a7c15 ^ math.Float64bits(r.ReceivedKB)*0xbf58476d1ce4e5b9 ^ math.Float64bits(r.StallMs)
-	return h << 1
+	hash := math.Float64bits(r.At)*0x9e3779b97f4a7c15 ^ math.Float64bits(r.ReceivedKB)*0xbf58476d1ce4e5b9 ^
+		math.Float64bits(r.StallMs)
+	return hash << 1
 }
 
-func (q *Tracker) doubled(s *session, r *PlayerReport) bool {
-	if r.Sequence < 0 && math.IsNaN(r.At) {
-		return false // nothing tells two of them apart
+func (t *Tracker) isDuplicate(s *session, report *PlayerReport) bool {
+	if report.Sequence < 0 && math.IsNaN(report.At) {
+		return false // without a number and a time, two reports can't be told apart
 	}
-	return slices.Contains(s.seen, r.mark())
+	return slices.Contains(s.recentReports, report.dedupKey())
 }
 
-func (q *Tracker) remember(s *session, r *PlayerReport) {
-	if len(s.seen) < max(q.cfg.DedupWindow, 1) {
-		s.seen = append(s.seen, r.mark())
-		q.bytes += markBytes
+// rememberReport adds a report's dedup key to the session's ring, over the oldest once the ring is full.
+func (t *Tracker) rememberReport(s *session, report *PlayerReport) {
+	if len(s.recentReports) < max(t.config.DedupWindow, 1) {
+		s.recentReports = append(s.recentReports, report.dedupKey())
+		t.timelineBytes += dedupKeyBytes
 		return
 	}
-	s.seen[s.next] = r.mark()
-	s.next = (s.next + 1) % len(s.seen)
+	s.recentReports[s.nextRecent] = report.dedupKey()
+	s.nextRecent = (s.nextRecent + 1) % len(s.recentReports)
 }
 
-// watermark is the time before which windows are closed.
-func (q *Tracker) watermark() float64 { return q.now - q.cfg.AllowedLatenessMs }
+// watermark returns the event time up to which windows are closed.
+func (t *Tracker) watermark() float64 { return t.now - t.config.AllowedLatenessMs }
 
-// pass closes windows behind the watermark and forgets sessions that ended long ago.
-func (q *Tracker) pass() {
+// advanceWatermark closes the windows behind the watermark and, once per window length, removes the sessions that
+// ended more than SessionRetentionMs ago.
+func (t *Tracker) advanceWatermark() {
 	n := 0
-	for n < len(q.open) && q.open[n].From+q.cfg.WindowMs <= q.watermark() {
-		q.closed = append(q.closed, q.open[n])
+	for n < len(t.openWindows) && t.openWindows[n].From+t.config.WindowMs <= t.watermark() {
+		t.closedWindows = append(t.closedWindows, t.openWindows[n])
 		n++
 	}
-	q.open = q.open[n:]
-	if q.now-q.swept < q.cfg.WindowMs {
+	t.openWindows = t.openWindows[n:]
+	if t.now-t.lastSweepAt < t.config.WindowMs {
 		return
 	}
-	q.swept = q.now
-	for id, s := range q.sessions {
-		if s.ended > 0 && q.now-s.ended > q.cfg.SessionRetentionMs {
-			q.forget(id)
+	t.lastSweepAt = t.now
+	for id, s := range t.sessions {
+		if s.endedAt > 0 && t.now-s.endedAt > t.config.SessionRetentionMs {
+			t.removeSession(id)
 		}
 	}
-	q.over = slices.DeleteFunc(q.over, func(id uint64) bool {
-		s := q.sessions[id]
-		return s == nil || s.ended == 0
+	t.endedSessions = slices.DeleteFunc(t.endedSessions, func(id uint64) bool {
+		s := t.sessions[id]
+		return s == nil || s.endedAt == 0
 	})
 }
 
-// Closed takes the windows that were closed since the last call, oldest first.
-func (q *Tracker) TakeClosed() []*Window {
-	out := q.closed
-	q.closed = nil
+// TakeClosed returns the windows that were closed since the last call, oldest first.
+func (t *Tracker) TakeClosed() []*Window {
+	out := t.closedWindows
+	t.closedWindows = nil
 	return out
 }
 
-// window finds the open window of a time, or makes it; nil behind the watermark.
-func (q *Tracker) window(at float64) *Window {
+// openWindowFor returns the open window of a time and creates it if needed; nil behind the watermark.
+func (t *Tracker) openWindowFor(at float64) *Window {
 	if at < 0 {
 		return nil
 	}
-	from := math.Floor(at/q.cfg.WindowMs) * q.cfg.WindowMs
-	if from+q.cfg.WindowMs <= q.watermark() {
+	from := math.Floor(at/t.config.WindowMs) * t.config.WindowMs
+	if from+t.config.WindowMs <= t.watermark() {
 		return nil
 	}
-	i, same := slices.BinarySearchFunc(q.open, from, func(w *Window, t float64) int { return cmp.Compare(w.From, t) })
-	if !same {
-		q.open = slices.Insert(q.open, i, newWindow(from))
+	i, exists := slices.BinarySearchFunc(t.openWindows, from, func(w *Window, from float64) int {
+		return cmp.Compare(w.From, from)
+	})
+	if !exists {
+		t.openWindows = slices.Insert(t.openWindows, i, newWindow(from))
 	}
-	return q.open[i]
+	return t.openWindows[i]
 }
 
-// DimOf finds a dimension by its name.
+// ParseDimension returns the dimension with a name, as String gives it.
 func ParseDimension(name string) (Dimension, bool) {
-	for d, n := range dimNames {
-		if n == name {
+	for d, dimensionName := range dimensionNames {
+		if dimensionName == name {
 			return Dimension(d), true
 		}
 	}
 	return 0, false
 }
 
-// Recent adds up the windows that are open, and those of closed that begin at from or later, by group of a dimension.
-func (q *Tracker) Recent(d Dimension, from float64, closed []*Window) map[GroupKey]*Group {
+// Recent merges, by group of a dimension, the open windows and those of closed that begin at from or later.
+func (t *Tracker) Recent(d Dimension, from float64, closed []*Window) map[GroupKey]*Group {
 	out := map[GroupKey]*Group{}
-	for _, list := range [][]*Window{closed, q.open} {
+	for _, list := range [][]*Window{closed, t.openWindows} {
 		for _, w := range list {
 			if w.From < from {
 				continue
 			}
-			for _, k := range w.Keys(d) {
-				if out[k] == nil {
-					out[k] = &Group{}
+			for _, key := range w.Keys(d) {
+				if out[key] == nil {
+					out[key] = &Group{}
 				}
-				out[k].Merge(w.Groups[k])
+				out[key].Merge(w.Groups[key])
 			}
 		}
 	}
 	return out
 }
 
-// LateBy is the most that a report came too late by, ms.
-func (q *Tracker) LateBy() float64 { return q.late }
+// LateBy returns the largest lateness of a report that was too late, in ms behind the watermark.
+func (t *Tracker) LateBy() float64 { return t.maxLatenessMs }
 
-// Span is a part of a session's timeline.
+// Span is a part of a session's timeline; it lasts until the next one begins.
 type Span struct {
 	From float64
 	Place
 }
 
-// Timeline tells where a session played; partly where its beginning is not known. ok is false for one that is
-// not kept.
-func (q *Tracker) Timeline(id uint64) (spans []Span, partly bool, skew float64, ok bool) {
-	s := q.sessions[id]
+// Timeline returns where a session played, and the offset of its player's clock. truncated is true where the
+// beginning is not known; ok is false for a session that is not tracked.
+func (t *Tracker) Timeline(id uint64) (spans []Span, truncated bool, clockOffsetMs float64, ok bool) {
+	s := t.sessions[id]
 	if s == nil {
 		return nil, false, 0, false
 	}
-	for _, x := range s.spans {
-		spans = append(spans, Span{x.from, x.Place})
+	for _, span := range s.spans {
+		spans = append(spans, Span{span.startAt, span.Place})
 	}
-	return spans, s.partly, s.skew, true
+	return spans, s.truncated, s.clockOffsetMs, true
 }
--- a/decide/quality/window.go
+++ b/decide/quality/window.go
@@ -10,57 +10,59 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// accuracy is the relative error of the sketches' quantiles.
-const accuracy = 0.02
+// sketchAccuracy is the relative error of the sketches' quantiles.
+const sketchAccuracy = 0.02
 
-// Group is what is known of one group in one window. Two groups add up with Merge.
+// Group aggregates the reports of one group in one window. Groups are added up with Merge.
 type Group struct {
-	Reports  int64
-	Starts   int64
-	StallMs  float64
-	Stalled  int64   // reports with a stall
-	Score    float64 // sum of the reports' quality
-	Lost     float64 // sum of what was missing to the best that was granted
-	Switches int64
-	startUp  *ddsketch.DDSketch
-	share    *ddsketch.DDSketch
-}
-
-// Window is a span of event time.
+	Reports       int64
+	Starts        int64
+	StallMs       float64
+	Stalled       int64   // reports with a stall
+	Score         float64 // sum of the reports' quality
+	Lost          float64 // sum of the quality missing from that of the granted rung, and of the start-up cost
+	Switches      int64   // changes of rung
+	startupSketch *ddsketch.DDSketch
+	shareSketch   *ddsketch.DDSketch
+}
+
+// Window aggregates the reports of an interval of event time, in total and by group.
 type Window struct {
 	From             float64
 	Total            Group
 	Groups           map[GroupKey]*Group
-	UngroupedReports int64 // reports of groups beyond the bound: in Whole only
+	UngroupedReports int64 // times that a report or start-up was left out of a group, beyond Config.MaxGroups
 }
 
 func newWindow(from float64) *Window { return &Window{From: from, Groups: map[GroupKey]*Group{}} }
 
-func add(s **ddsketch.DDSketch, v float64) {
-	if *s == nil {
-		*s, _ = ddsketch.NewDefaultDDSketch(accuracy) // a constant within its range: it can't fail
+// addToSketch adds a value to a sketch, which is created if needed.
+func addToSketch(sketch **ddsketch.DDSketch, value float64) {
+	if *sketch == nil {
+		*sketch, _ = ddsketch.NewDefaultDDSketch(sketchAccuracy) // fails only for an accuracy outside of (0, 1)
 	}
-	(*s).Add(v)
+	(*sketch).Add(value)
 }
 
-func quantile(s *ddsketch.DDSketch, p float64) float64 {
-	if s == nil {
+// quantile returns the p-quantile of a sketch; NaN if it is empty.
+func quantile(sketch *ddsketch.DDSketch, p float64) float64 {
+	if sketch == nil {
 		return math.NaN()
 	}
-	v, err := s.GetValueAtQuantile(p)
+	value, err := sketch.GetValueAtQuantile(p)
 	if err != nil {
 		return math.NaN()
 	}
-	return v
+	return value
 }
 
-// StartUp is a quantile of the start-up time, ms; NaN without any.
-func (g *Group) StartUp(p float64) float64 { return quantile(g.startUp, p) }
+// StartUp returns the p-quantile of the start-up time in ms; NaN without any.
+func (g *Group) StartUp(p float64) float64 { return quantile(g.startupSketch, p) }
 
-// Share is a quantile of the rate got over the rate granted; NaN without any.
-func (g *Group) Share(p float64) float64 { return quantile(g.share, p) }
+// Share returns the p-quantile of the rate received over the rate needed; NaN without any.
+func (g *Group) Share(p float64) float64 { return quantile(g.shareSketch, p) }
 
-// Mean is the mean quality of a report; NaN without any.
+// Mean returns the mean quality of a report; NaN without any.
 func (g *Group) Mean() float64 {
 	if g.Reports == 0 {
 		return math.NaN()
@@ -68,171 +70,177 @@
 	return g.Score / float64(g.Reports)
 }
 
-// Merge adds another director's part.
-func (g *Group) Merge(o *Group) {
-	g.Reports += o.Reports
-	g.Starts += o.Starts
-	g.StallMs += o.StallMs
-	g.Stalled += o.Stalled
-	g.Score += o.Score
-	g.Lost += o.Lost
-	g.Switches += o.Switches
-	for _, x := range []struct{ to, from **ddsketch.DDSketch }{{&g.startUp, &o.startUp}, {&g.share, &o.share}} {
+// Merge adds another part of the same group, of another window or of another director.
+func (g *Group) Merge(other *Group) {
+	g.Reports += other.Reports
+	g.Starts += other.Starts
+	g.StallMs += other.StallMs
+	g.Stalled += other.Stalled
+	g.Score += other.Score
+	g.Lost += other.Lost
+	g.Switches += other.Switches
+	for _, pair := range []struct{ to, from **ddsketch.DDSketch }{
+		{&g.startupSketch, &other.startupSketch}, {&g.shareSketch, &other.shareSketch}} {
 		switch {
-		case *x.from == nil:
-		case *x.to == nil:
-			*x.to = (*x.from).Copy()
+		case *pair.from == nil:
+		case *pair.to == nil:
+			*pair.to = (*pair.from).Copy()
 		default:
-			(*x.to).MergeWith(*x.from) // of one accuracy: it can't fail
+			(*pair.to).MergeWith(*pair.from) // fails only for sketches of different accuracies
 		}
 	}
 }
 
 // Merge adds another director's window of the same time.
-func (w *Window) Merge(o *Window) {
-	w.Total.Merge(&o.Total)
-	w.UngroupedReports += o.UngroupedReports
-	for k, g := range o.Groups {
-		if w.Groups[k] == nil {
-			w.Groups[k] = &Group{}
+func (w *Window) Merge(other *Window) {
+	w.Total.Merge(&other.Total)
+	w.UngroupedReports += other.UngroupedReports
+	for key, group := range other.Groups {
+		if w.Groups[key] == nil {
+			w.Groups[key] = &Group{}
 		}
-		w.Groups[k].Merge(g)
+		w.Groups[key].Merge(group)
 	}
 }
 
-// Keys lists a dimension's groups in order.
+// Keys returns the groups of a dimension, by ID.
 func (w *Window) Keys(d Dimension) []GroupKey {
 	var out []GroupKey
-	for k := range w.Groups {
-		if k.Dim == d {
-			out = append(out, k)
+	for key := range w.Groups {
+		if key.Dim == d {
+			out = append(out, key)
 		}
 	}
 	slices.SortFunc(out, func(a, b GroupKey) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
-// keys are the groups of a session at a place.
-func (s *session) keys(p Place) [dims]GroupKey {
-	return [dims]GroupKey{{ByRack, p.Rack}, {ByNode, p.Node}, {ByTitle, s.title}, {ByClass, s.class}, {ByTenant, s.brand}, {ByPlayerFamily, s.family}}
+// groupKeys returns the groups of a session at a place, indexed by dimension.
+func (s *session) groupKeys(place Place) [dimensionCount]GroupKey {
+	return [dimensionCount]GroupKey{{ByRack, place.Rack}, {ByNode, place.Node}, {ByTitle, s.title}, {ByClass, s.class},
+		{ByTenant, s.tenant}, {ByPlayerFamily, s.playerFamily}}
 }
 
-// each calls f for the whole and for each group of a session.
-func (w *Window) each(q *Tracker, s *session, p *span, f func(*Group)) {
-	f(&w.Total)
-	for _, k := range s.keys(p.Place) {
-		g := w.Groups[k]
-		if g == nil {
-			if q.cfg.MaxGroups > 0 && len(w.Groups) >= q.cfg.MaxGroups {
+// forEachGroup calls update for the total and for each group of a session. It creates missing groups up to MaxGroups.
+func (w *Window) forEachGroup(t *Tracker, s *session, span *timelineSpan, update func(*Group)) {
+	update(&w.Total)
+	for _, key := range s.groupKeys(span.Place) {
+		group := w.Groups[key]
+		if group == nil {
+			if t.config.MaxGroups > 0 && len(w.Groups) >= t.config.MaxGroups {
 				w.UngroupedReports++
 				continue
 			}
-			g = &Group{}
-			w.Groups[k] = g
+			group = &Group{}
+			w.Groups[key] = group
 		}
-		f(g)
+		update(group)
 	}
 }
 
-func (w *Window) start(q *Tracker, s *session, p *span, ms float64) {
-	w.each(q, s, p, func(g *Group) {
+// recordStartup counts a session's start-up time and what it costs.
+func (w *Window) recordStartup(t *Tracker, s *session, span *timelineSpan, startupMs float64) {
+	w.forEachGroup(t, s, span, func(g *Group) {
 		g.Starts++
-		add(&g.startUp, ms)
-		g.Lost += q.cfg.StartupCost * ms / 1000
+		addToSketch(&g.startupSketch, startupMs)
+		g.Lost += t.config.StartupCost * startupMs / 1000
 	})
 }
 
-// report counts one report where the session was. Its quality is the linear model's: the rung's, less what
-// changes of rung, stalls and a rate under the granted one cost.
-func (w *Window) report(q *Tracker, s *session, p *span, r *PlayerReport, at float64) {
-	rung := p.Rung
-	if r.Rung >= 0 {
-		rung = r.Rung
+// recordReport counts one report in the groups of its place. Its quality follows the linear model: the quality of the
+// rung played, less the costs of a change of rung and of stalls. The quality lost is what is missing from that of
+// the granted rung.
+func (w *Window) recordReport(t *Tracker, s *session, span *timelineSpan, report *PlayerReport, at float64) {
+	rung := span.Rung
+	if report.Rung >= 0 {
+		rung = report.Rung
 	}
-	worth := q.worth(rung)
-	score := worth
-	switched := s.rung >= 0 && s.rung != rung && at >= s.last
+	rungQuality := t.rungQuality(rung)
+	score := rungQuality
+	switched := s.lastRung >= 0 && s.lastRung != rung && at >= s.lastReportAt
 	if switched {
-		score -= q.cfg.SwitchCost * math.Abs(worth-q.worth(s.rung))
+		score -= t.config.SwitchCost * math.Abs(rungQuality-t.rungQuality(s.lastRung))
 	}
-	score -= q.cfg.StallCost * r.StallMs / 1000
+	score -= t.config.StallCost * report.StallMs / 1000
 	share := math.NaN()
-	if need := needed(s, p, r); r.ReceivedKB >= 0 && need > 0 {
-		share = r.ReceivedKB / need
+	if required := requiredRateKB(s, span, report); report.ReceivedKB >= 0 && required > 0 {
+		share = report.ReceivedKB / required
 	}
-	if at >= s.last { // an older report says nothing of now
-		s.last, s.rung, s.need = at, rung, r.RequiredKB
-		stalled := r.StallMs > 0 || r.BufferEmpty
+	if at >= s.lastReportAt { // a report older than the last one says nothing of the present state
+		s.lastReportAt, s.lastRung, s.lastRequiredKB = at, rung, report.RequiredKB
+		stalled := report.StallMs > 0 || report.BufferEmpty
 		if !math.IsNaN(share) || stalled {
-			s.short, s.at = share, at
-			if stalled && !(share < q.cfg.ShortfallBelow) { // it stalled whatever rate it measured
-				s.short = q.cfg.ShortfallBelow * 0.99
+			s.lastShare, s.lastShareAt = share, at
+			// A session that stalls is short, whatever rate it measured: its share is set just under the bound.
+			if stalled && !(share < t.config.ShortfallBelow) {
+				s.lastShare = t.config.ShortfallBelow * 0.99
 			}
 		}
 	}
-	lost := math.Max(q.worth(p.Rung)-score, 0)
-	w.each(q, s, p, func(g *Group) {
+	lost := math.Max(t.rungQuality(span.Rung)-score, 0)
+	w.forEachGroup(t, s, span, func(g *Group) {
 		g.Reports++
 		g.Score += score
 		g.Lost += lost
-		g.StallMs += r.StallMs
-		if r.StallMs > 0 || r.BufferEmpty {
+		g.StallMs += report.StallMs
+		if report.StallMs > 0 || report.BufferEmpty {
 			g.Stalled++
 		}
 		if switched {
 			g.Switches++
 		}
 		if !math.IsNaN(share) {
-			add(&g.share, math.Min(share, 4))
+			addToSketch(&g.shareSketch, math.Min(share, 4))
 		}
 	})
 }
 
-// needed is the rate that a session must get not to be short: what was granted, or less where the player asked
-// for less. What it measured is of the object before, so after a rise the smaller of the two requests counts:
-// else every raised rung would look like a squeeze.
-func needed(s *session, p *span, r *PlayerReport) float64 {
-	need := p.RateKB
-	for _, kb := range []float64{r.RequiredKB, s.need} {
-		if kb > 0 {
-			need = math.Min(need, kb)
+// requiredRateKB is the rate in kB/s below which a session is short: the granted rate, or the requested one where the
+// player requested less. The received rate was measured on the previous media object, so after a rise of the rung
+// the smaller of the last two requests counts; otherwise every rise would look like an overload.
+func requiredRateKB(s *session, span *timelineSpan, report *PlayerReport) float64 {
+	required := span.RateKB
+	for _, requested := range []float64{report.RequiredKB, s.lastRequiredKB} {
+		if requested > 0 {
+			required = math.Min(required, requested)
 		}
 	}
-	return need
+	return required
 }
 
-func (q *Tracker) worth(rung int) float64 {
-	if len(q.cfg.RungWorth) == 0 {
+// rungQuality returns the quality of a rung, or of the nearest one that Config.RungWorth has; 0 if it has none.
+func (t *Tracker) rungQuality(rung int) float64 {
+	if len(t.config.RungWorth) == 0 {
 		return 0
 	}
-	return q.cfg.RungWorth[min(max(rung, 0), len(q.cfg.RungWorth)-1)]
+	return t.config.RungWorth[min(max(rung, 0), len(t.config.RungWorth)-1)]
 }
 
-// Encode writes the sketches, for another process to merge; nil where there is nothing.
-func (g *Group) Encode() (startUp, share []byte) {
-	if g.startUp != nil {
-		g.startUp.Encode(&startUp, false)
+// Encode serializes the sketches for another process to merge; nil for an empty sketch.
+func (g *Group) Encode() (startup, share []byte) {
+	if g.startupSketch != nil {
+		g.startupSketch.Encode(&startup, false)
 	}
-	if g.share != nil {
-		g.share.Encode(&share, false)
+	if g.shareSketch != nil {
+		g.shareSketch.Encode(&share, false)
 	}
-	return startUp, share
+	return startup, share
 }
 
 // Decode reads what Encode wrote into a group without sketches.
-func (g *Group) Decode(startUp, share []byte) error {
-	for _, x := range []struct {
+func (g *Group) Decode(startup, share []byte) error {
+	for _, part := range []struct {
 		to   **ddsketch.DDSketch
 		from []byte
-	}{{&g.startUp, startUp}, {&g.share, share}} {
-		if len(x.from) == 0 {
+	}{{&g.startupSketch, startup}, {&g.shareSketch, share}} {
+		if len(part.from) == 0 {
 			continue
 		}
-		s, err := ddsketch.DecodeDDSketch(x.from, store.DefaultProvider, nil)
+		sketch, err := ddsketch.DecodeDDSketch(part.from, store.DefaultProvider, nil)
 		if err != nil {
-			return fmt.Errorf("quality: sketch: %w", err)
+			return fmt.Errorf("quality: decoding sketch: %w", err)
 		}
-		*x.to = s
+		*part.to = sketch
 	}
 	return nil
 }
