--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,11 +1,18 @@
-// Package history keeps what decide/quality closed in Parquet files and reads it
-// back. It owns the files of one directory; which of them are given up is
-// decide/quality's word (Drop). Writing is off the loop: what a slow disk does
-// not take is dropped and counted, never waited for.
+// Package history stores the closed windows and the findings of decide/quality in
+// Parquet files, and reads them back.
 //
-// A segment is written whole beside its name, synced and renamed, so that a
-// reader or a crash never sees half of one. A crash loses what has not been
-// written yet: history.segment_s at most.
+// A Writer owns the files of one director in a directory. Its input are rows (Put);
+// its output are segments, one Parquet file per Config.SegmentMs.
+// quality.SegmentsToDelete decides which segments are deleted to stay within the
+// bounds on age and size. Writing happens on the Writer's own goroutine: rows that
+// a slow disk can't take are dropped and counted, Put never blocks.
+//
+// A segment is written completely under a temporary name, synced and renamed, so
+// that neither a reader nor a crash ever leaves a partial one. A crash loses the
+// rows that are not written yet: those of history.segment_s at most.
+//
+// Read returns the rows of all directors in a directory; Summarize aggregates them,
+// and Summary.Draw plots the result.
 package history
 
 import (
@@ -24,7 +31,7 @@
 	"headmill/decide/quality"
 )
 
-// Row is one group of one window, the whole of one window (Dim "whole"), or one finding (Finding).
+// Row is one group in one window, the total of one window (Dim "whole"), or one finding (Finding is true).
 type Row struct {
 	FromMs   int64   `parquet:"from_ms,delta"` // Unix time
 	ToMs     int64   `parquet:"to_ms,delta"`
@@ -40,63 +47,64 @@
 	Score    float64 `parquet:"score"`
 	Lost     float64 `parquet:"lost"`
 	Switches int64   `parquet:"switches"`
-	StartUp  []byte  `parquet:"start_up,zstd"` // DDSketch, as the library encodes it
+	StartUp  []byte  `parquet:"start_up,zstd"` // DDSketch in its library's encoding
 	Share    []byte  `parquet:"share,zstd"`
 }
 
-// Of makes a row of a group.
+// Of returns the row of a group in a window.
 func Of(fromMs, toMs int64, director, dim, name string, g *quality.Group) Row {
-	start, share := g.Encode()
+	startup, share := g.Encode()
 	return Row{FromMs: fromMs, ToMs: toMs, Director: director, Dim: dim, Name: name, Reports: g.Reports, Starts: g.Starts,
-		StallMs: g.StallMs, Stalled: g.Stalled, Score: g.Score, Lost: g.Lost, Switches: g.Switches, StartUp: start, Share: share}
+		StallMs: g.StallMs, Stalled: g.Stalled, Score: g.Score, Lost: g.Lost, Switches: g.Switches, StartUp: startup,
+		Share: share}
 }
 
-// Group is the group that a row holds.
+// Group returns the group that the row was made of.
 func (r *Row) Group() (*quality.Group, error) {
-	g := &quality.Group{Reports: r.Reports, Starts: r.Starts, StallMs: r.StallMs, Stalled: r.Stalled, Score: r.Score, Lost: r.Lost,
-		Switches: r.Switches}
+	g := &quality.Group{Reports: r.Reports, Starts: r.Starts, StallMs: r.StallMs, Stalled: r.Stalled, Score: r.Score,
+		Lost: r.Lost, Switches: r.Switches}
 	return g, g.Decode(r.StartUp, r.Share)
 }
 
-// Config names the directory and its bounds.
+// Config has the directory of a Writer and its bounds.
 type Config struct {
 	Dir       string
-	Director  string
-	SegmentMs float64
-	MaxBytes  int64
-	MaxAgeMs  float64
+	Director  string  // prefix of the files' names
+	SegmentMs float64 // interval between segments
+	MaxBytes  int64   // of this director's segments; 0: no bound
+	MaxAgeMs  float64 // of this director's segments; 0: no bound
 }
 
-// Writer writes segments on a goroutine of its own.
+// Writer writes segments on its own goroutine.
 type Writer struct {
 	cfg     Config
 	log     *slog.Logger
-	in      chan []Row
-	done    chan struct{}
-	dropped atomic.Uint64
-	written atomic.Uint64
+	queue   chan []Row
+	done    chan struct{} // closed when the goroutine has ended
+	dropped atomic.Uint64 // rows
+	written atomic.Uint64 // rows
 }
 
-const queued = 64 // batches that wait for the disk at most
+const maxQueuedBatches = 64 // batches of rows that wait for the disk
 
-// Open makes the directory and starts the writer. What an earlier run left half written is removed.
+// Open creates the directory, removes partial segments of an earlier run, and starts the Writer.
 func Open(cfg Config, log *slog.Logger) (*Writer, error) {
 	if err := os.MkdirAll(cfg.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
-	half, _ := filepath.Glob(filepath.Join(cfg.Dir, cfg.Director+"-*.parquet.part"))
-	for _, f := range half {
-		os.Remove(f)
+	partial, _ := filepath.Glob(filepath.Join(cfg.Dir, cfg.Director+"-*.parquet.part"))
+	for _, file := range partial {
+		os.Remove(file)
 	}
-	w := &Writer{cfg: cfg, log: log, in: make(chan []Row, queued), done: make(chan struct{})}
+	w := &Writer{cfg: cfg, log: log, queue: make(chan []Row, maxQueuedBatches), done: make(chan struct{})}
 	go w.run()
 	return w, nil
 }
 
-// Put hands rows over; it never waits. False where they were dropped.
+// Put queues rows for writing. It never blocks: if the queue is full, it drops the rows and returns false.
 func (w *Writer) Put(rows []Row) bool {
 	select {
-	case w.in <- rows:
+	case w.queue <- rows:
 		return true
 	default:
 		w.dropped.Add(uint64(len(rows)))
@@ -104,27 +112,29 @@
 	}
 }
 
-// Counts tells the rows written and dropped.
+// Counts returns the numbers of rows written and dropped.
 func (w *Writer) Counts() (written, dropped uint64) { return w.written.Load(), w.dropped.Load() }
 
-// Close writes what waits. Put must not be called after it.
+// Close writes the queued rows and ends the Writer. Put must not be called after it.
 func (w *Writer) Close() {
-	close(w.in)
+	close(w.queue)
 	<-w.done
 }
 
+// run collects rows and writes them as a segment once per SegmentMs, and at the end.
 func (w *Writer) run() {
 	defer close(w.done)
 	var rows []Row
-	t := time.NewTicker(time.Duration(max(w.cfg.SegmentMs, 10) * float64(time.Millisecond)))
-	defer t.Stop()
+	ticker := time.NewTicker(time.Duration(max(w.cfg.SegmentMs, 10) * float64(time.Millisecond)))
+	defer ticker.Stop()
 	flush := func() {
 		if len(rows) == 0 {
 			return
 		}
-		if err := w.segment(rows); err != nil {
+		if err := w.writeSegment(rows); err != nil {
 			w.dropped.Add(uint64(len(rows)))
-			w.log.Error("history: a segment is lost; look at the disk", "dir", w.cfg.Dir, "rows", len(rows), "error", err.Error())
+			w.log.Error("history: segment not written, its rows are lost; check the disk",
+				"dir", w.cfg.Dir, "rows", len(rows), "error", err.Error())
 		} else {
 			w.written.Add(uint64(len(rows)))
 		}
@@ -133,32 +143,32 @@
 	}
 	for {
 		select {
-		case more, ok := <-w.in:
+		case batch, ok := <-w.queue:
 			if !ok {
 				flush()
 				return
 			}
-			rows = append(rows, more...)
-		case <-t.C:
+			rows = append(rows, batch...)
+		case <-ticker.C:
 			flush()
 		}
 	}
 }
 
-// segment writes one file: whole, synced, then named.
-func (w *Writer) segment(rows []Row) error {
+// writeSegment writes a file under a temporary name, syncs it and renames it.
+func (w *Writer) writeSegment(rows []Row) error {
 	from := rows[0].FromMs
 	for i := range rows {
 		from = min(from, rows[i].FromMs)
 	}
 	name := filepath.Join(w.cfg.Dir, fmt.Sprintf("%s-%d-%d.parquet", w.cfg.Director, from, time.Now().UnixNano()))
-	f, err := os.Create(name + ".part")
+	file, err := os.Create(name + ".part")
 	if err != nil {
 		return err
 	}
-	pw := parquet.NewGenericWriter[Row](f)
-	_, err = pw.Write(rows)
-	err = errors.Join(err, pw.Close(), f.Sync(), f.Close())
+	parquetWriter := parquet.NewGenericWriter[Row](file)
+	_, err = parquetWriter.Write(rows)
+	err = errors.Join(err, parquetWriter.Close(), file.Sync(), file.Close())
 	if err == nil {
 		err = os.Rename(name+".part", name)
 	}
@@ -168,25 +178,27 @@
 	return err
 }
 
-// prune removes the segments of this director that its bounds leave no room for.
+// prune deletes the segments of this director that exceed MaxAgeMs or MaxBytes.
 func (w *Writer) prune() {
-	var list []quality.Segment
+	var segments []quality.Segment
 	files, _ := filepath.Glob(filepath.Join(w.cfg.Dir, w.cfg.Director+"-*.parquet"))
-	for _, f := range files {
-		if d, from, ok := parseName(f); ok && d == w.cfg.Director {
-			if st, err := os.Stat(f); err == nil {
-				list = append(list, quality.Segment{Name: f, FromMs: float64(from), Bytes: st.Size()})
+	for _, file := range files {
+		// The pattern also matches directors whose names begin with this one's and a hyphen.
+		if director, from, ok := parseName(file); ok && director == w.cfg.Director {
+			if info, err := os.Stat(file); err == nil {
+				segments = append(segments, quality.Segment{Name: file, FromMs: float64(from), Bytes: info.Size()})
 			}
 		}
 	}
-	for _, f := range quality.SegmentsToDelete(list, float64(time.Now().UnixMilli()), w.cfg.MaxAgeMs, w.cfg.MaxBytes) {
-		if err := os.Remove(f); err != nil {
-			w.log.Error("history: a segment can't be removed", "file", f, "error", err.Error())
+	for _, file := range quality.SegmentsToDelete(segments, float64(time.Now().UnixMilli()), w.cfg.MaxAgeMs,
+		w.cfg.MaxBytes) {
+		if err := os.Remove(file); err != nil {
+			w.log.Error("history: segment not deleted", "file", file, "error", err.Error())
 		}
 	}
 }
 
-// parseName reads DIRECTOR-FROM-WRITTEN.parquet.
+// parseName reads a segment's name, DIRECTOR-FROM-WRITTEN.parquet. The director's name may contain hyphens.
 func parseName(path string) (director string, fromMs int64, ok bool) {
 	parts := strings.Split(strings.TrimSuffix(filepath.Base(path), ".parquet"), "-")
 	if len(parts) < 3 {
@@ -196,27 +208,27 @@
 	return strings.Join(parts[:len(parts)-2], "-"), from, err == nil
 }
 
-// Read returns the rows of all directors that touch the time from to to (Unix ms; to 0: no end), and the files that
-// can't be read: those are passed over, the rest is worth having.
-func Read(dir string, fromMs, toMs int64) (rows []Row, bad []error, err error) {
+// Read returns the rows of all directors that overlap the interval from fromMs to toMs (Unix ms; toMs 0: no end). Files
+// that can't be read are skipped, since the others are still useful; unreadable has an error for each.
+func Read(dir string, fromMs, toMs int64) (rows []Row, unreadable []error, err error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.parquet"))
 	if err != nil {
 		return nil, nil, err
 	}
 	if len(files) == 0 {
-		return nil, nil, fmt.Errorf("history: %s holds no segments (*.parquet)", dir)
+		return nil, nil, fmt.Errorf("history: directory %s has no segments (*.parquet)", dir)
 	}
-	for _, f := range files {
-		part, err := parquet.ReadFile[Row](f)
+	for _, file := range files {
+		fileRows, err := parquet.ReadFile[Row](file)
 		if err != nil {
-			bad = append(bad, fmt.Errorf("history: %s: %w", f, err))
+			unreadable = append(unreadable, fmt.Errorf("history: reading segment %s: %w", file, err))
 			continue
 		}
-		for _, r := range part {
-			if r.ToMs > fromMs && (toMs == 0 || r.FromMs < toMs) {
-				rows = append(rows, r)
+		for _, row := range fileRows {
+			if row.ToMs > fromMs && (toMs == 0 || row.FromMs < toMs) {
+				rows = append(rows, row)
 			}
 		}
 	}
-	return rows, bad, nil
+	return rows, unreadable, nil
 }
--- a/internal/history/plot.go
+++ b/internal/history/plot.go
@@ -22,65 +22,69 @@
 	"headmill/decide/quality"
 )
 
-// Summary is what a report shows of a time: windows of all directors added up.
+// Summary aggregates the rows of a period over all directors. Its time is divided into steps of StepMs from FromMs on.
 type Summary struct {
 	FromMs, ToMs, StepMs int64
-	Racks                []string
-	Cells                map[string]map[int64]*quality.Group // by rack and window
-	Whole                quality.Group
-	Troubles             []quality.FindingInterval
+	Racks                []string                            // names, in numerical order
+	GroupsByRack         map[string]map[int64]*quality.Group // by the rack's name and the index of the step
+	Whole                quality.Group                       // total of all windows
+	Findings             []quality.FindingInterval           // Unix ms
 	Causes               []quality.CauseLoss
 }
 
-// Summarize adds rows up. Directors' windows don't begin at the same moment: they are put on one grid.
+// Summarize aggregates rows. The windows of different directors don't begin at the same time: each is assigned to the
+// step in which it begins.
 func Summarize(rows []Row) (*Summary, error) {
-	s := &Summary{Cells: map[string]map[int64]*quality.Group{}, FromMs: math.MaxInt64}
+	s := &Summary{GroupsByRack: map[string]map[int64]*quality.Group{}, FromMs: math.MaxInt64}
 	for i := range rows {
-		if r := &rows[i]; !r.Finding {
-			s.StepMs = max(s.StepMs, r.ToMs-r.FromMs)
-			s.FromMs, s.ToMs = min(s.FromMs, r.FromMs), max(s.ToMs, r.ToMs)
+		if row := &rows[i]; !row.Finding {
+			s.StepMs = max(s.StepMs, row.ToMs-row.FromMs)
+			s.FromMs, s.ToMs = min(s.FromMs, row.FromMs), max(s.ToMs, row.ToMs)
 		}
 	}
 	if s.StepMs <= 0 {
-		return nil, errors.New("history: no closed window in that time; windows close quality.late_ms after they end")
+		return nil, errors.New("history: no closed window in this period; windows close quality.late_ms after their end")
 	}
-	whole := map[float64]float64{}
+	totalLoss := map[float64]float64{}
 	var losses []quality.GroupLoss
-	found := map[string]int{}
+	findingIndex := map[string]int{}
 	for i := range rows {
-		r := &rows[i]
-		if r.Finding {
-			key := r.Dim + " " + r.Name + fmt.Sprint(r.Director, r.FromMs/1000)
-			n, ok := found[key]
+		row := &rows[i]
+		if row.Finding {
+			// A finding has a row for its beginning and one for its end, with the same FromMs to the second.
+			key := row.Dim + " " + row.Name + fmt.Sprint(row.Director, row.FromMs/1000)
+			index, ok := findingIndex[key]
 			if !ok {
-				n = len(s.Troubles)
-				found[key] = n
-				s.Troubles = append(s.Troubles, quality.FindingInterval{Dim: r.Dim, Name: r.Name, From: float64(r.FromMs), To: float64(r.ToMs)})
+				index = len(s.Findings)
+				findingIndex[key] = index
+				s.Findings = append(s.Findings, quality.FindingInterval{Dim: row.Dim, Name: row.Name,
+					From: float64(row.FromMs), To: float64(row.ToMs)})
 			}
-			s.Troubles[n].To = max(s.Troubles[n].To, float64(r.ToMs))
+			s.Findings[index].To = max(s.Findings[index].To, float64(row.ToMs))
 			continue
 		}
-		g, err := r.Group()
+		group, err := row.Group()
 		if err != nil {
 			return nil, err
 		}
-		at := (r.FromMs - s.FromMs) / s.StepMs
-		switch r.Dim {
+		step := (row.FromMs - s.FromMs) / s.StepMs
+		switch row.Dim {
 		case "whole":
-			s.Whole.Merge(g)
-			whole[float64(at)] += r.Lost
+			s.Whole.Merge(group)
+			totalLoss[float64(step)] += row.Lost
 			continue
 		case "rack":
-			if s.Cells[r.Name] == nil {
-				s.Cells[r.Name] = map[int64]*quality.Group{}
-				s.Racks = append(s.Racks, r.Name)
+			if s.GroupsByRack[row.Name] == nil {
+				s.GroupsByRack[row.Name] = map[int64]*quality.Group{}
+				s.Racks = append(s.Racks, row.Name)
 			}
-			if s.Cells[r.Name][at] == nil {
-				s.Cells[r.Name][at] = &quality.Group{}
+			if s.GroupsByRack[row.Name][step] == nil {
+				s.GroupsByRack[row.Name][step] = &quality.Group{}
 			}
-			s.Cells[r.Name][at].Merge(g)
+			s.GroupsByRack[row.Name][step].Merge(group)
 		}
-		losses = append(losses, quality.GroupLoss{Dim: r.Dim, Name: r.Name, From: float64(at), To: float64(at + 1), Lost: r.Lost})
+		losses = append(losses, quality.GroupLoss{Dim: row.Dim, Name: row.Name, From: float64(step), To: float64(step + 1),
+			Lost: row.Lost})
 	}
 	slices.SortFunc(s.Racks, func(a, b string) int { // 2 before 10
 		if len(a) != len(b) {
@@ -88,37 +92,41 @@
 		}
 		return strings.Compare(a, b)
 	})
-	grid := make([]quality.FindingInterval, 0, len(s.Troubles))
-	for _, t := range s.Troubles {
-		t.From, t.To = (t.From-float64(s.FromMs))/float64(s.StepMs), (t.To-float64(s.FromMs))/float64(s.StepMs)
-		grid = append(grid, t)
+	inSteps := make([]quality.FindingInterval, 0, len(s.Findings))
+	for _, finding := range s.Findings {
+		finding.From, finding.To = (finding.From-float64(s.FromMs))/float64(s.StepMs),
+			(finding.To-float64(s.FromMs))/float64(s.StepMs)
+		inSteps = append(inSteps, finding)
 	}
-	s.Causes = quality.AttributeLoss(whole, losses, grid)
+	s.Causes = quality.AttributeLoss(totalLoss, losses, inSteps)
 	return s, nil
 }
 
-// grid is the map of racks over time: the mean quality of the reports.
-type grid struct{ s *Summary }
+// rackGrid is the data of the heat map: the mean quality of the reports by step (column) and rack (row). It implements
+// plotter.GridXYZ.
+type rackGrid struct{ summary *Summary }
 
-func (g grid) Dims() (c, r int) {
-	return int((g.s.ToMs-g.s.FromMs+g.s.StepMs-1)/g.s.StepMs) + 1, len(g.s.Racks)
+func (g rackGrid) Dims() (columns, rows int) {
+	return int((g.summary.ToMs-g.summary.FromMs+g.summary.StepMs-1)/g.summary.StepMs) + 1, len(g.summary.Racks)
 }
-func (g grid) X(c int) float64 {
-	return float64(g.s.FromMs)/1000 + (float64(c)+0.5)*float64(g.s.StepMs)/1000
+
+// X is the middle of a step, in Unix seconds.
+func (g rackGrid) X(column int) float64 {
+	return float64(g.summary.FromMs)/1000 + (float64(column)+0.5)*float64(g.summary.StepMs)/1000
 }
-func (g grid) Y(r int) float64 { return float64(r) }
-func (g grid) Z(c, r int) float64 {
-	if x := g.s.Cells[g.s.Racks[r]][int64(c)]; x != nil {
-		return x.Mean()
+func (g rackGrid) Y(row int) float64 { return float64(row) }
+func (g rackGrid) Z(column, row int) float64 {
+	if group := g.summary.GroupsByRack[g.summary.Racks[row]][int64(column)]; group != nil {
+		return group.Mean()
 	}
 	return math.NaN()
 }
 
-// clock writes times of day.
-type clock struct{}
+// utcTimeTicks labels an axis in Unix seconds with times of day.
+type utcTimeTicks struct{}
 
-func (clock) Ticks(lo, hi float64) []plot.Tick {
-	ticks := plot.DefaultTicks{}.Ticks(lo, hi)
+func (utcTimeTicks) Ticks(low, high float64) []plot.Tick {
+	ticks := plot.DefaultTicks{}.Ticks(low, high)
 	for i := range ticks {
 		if ticks[i].Label != "" {
 			ticks[i].Label = time.UnixMilli(int64(ticks[i].Value * 1000)).UTC().Format("15:04:05")
@@ -128,97 +136,100 @@
 }
 
 var (
-	troubleInk = color.RGBA{R: 200, A: 255}
-	lineInk    = color.RGBA{B: 160, G: 70, A: 255}
+	findingColor = color.RGBA{R: 200, A: 255}
+	plotColor    = color.RGBA{B: 160, G: 70, A: 255}
 )
 
-// rackMap is quality by rack over time, with the findings on racks framed and others as lines at their beginning.
-func (s *Summary) rackMap() (*plot.Plot, error) {
+// rackHeatMap plots the quality by rack over time. Findings on racks are framed; others are a vertical line at their
+// beginning.
+func (s *Summary) rackHeatMap() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "quality by rack over time (mean of the reports; red: findings)"
-	p.X.Tick.Marker = clock{}
+	p.X.Tick.Marker = utcTimeTicks{}
 	p.X.Label.Text = "UTC"
 	if len(s.Racks) > 0 {
-		h := plotter.NewHeatMap(grid{s}, reversed{moreland.SmoothBlueRed().Palette(64)})
-		if h.Max <= h.Min || math.IsNaN(h.Max) {
-			h.Max = h.Min + 1e-6
+		heatMap := plotter.NewHeatMap(rackGrid{s}, reversedPalette{moreland.SmoothBlueRed().Palette(64)})
+		if heatMap.Max <= heatMap.Min || math.IsNaN(heatMap.Max) {
+			heatMap.Max = heatMap.Min + 1e-6 // the heat map needs a range that is not empty
 		}
-		h.NaN = color.Gray{Y: 230}
-		p.Add(h)
+		heatMap.NaN = color.Gray{Y: 230}
+		p.Add(heatMap)
 	}
 	var ticks []plot.Tick
-	for i, r := range s.Racks {
-		label := "rack " + r
+	for i, rack := range s.Racks {
+		label := "rack " + rack
 		if len(s.Racks) > 20 && i%2 == 1 {
 			label = ""
 		}
 		ticks = append(ticks, plot.Tick{Value: float64(i), Label: label})
 	}
 	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	for _, t := range s.Troubles {
-		y := slices.Index(s.Racks, t.Name)
-		from, to := t.From/1000, t.To/1000
-		xy := plotter.XYs{{X: from, Y: -0.5}, {X: from, Y: float64(len(s.Racks)) - 0.5}}
-		if t.Dim == "rack" && y >= 0 {
-			a, b := float64(y)-0.5, float64(y)+0.5
-			xy = plotter.XYs{{X: from, Y: a}, {X: to, Y: a}, {X: to, Y: b}, {X: from, Y: b}, {X: from, Y: a}}
+	for _, finding := range s.Findings {
+		rackRow := slices.Index(s.Racks, finding.Name)
+		from, to := finding.From/1000, finding.To/1000
+		points := plotter.XYs{{X: from, Y: -0.5}, {X: from, Y: float64(len(s.Racks)) - 0.5}}
+		if finding.Dim == "rack" && rackRow >= 0 {
+			bottom, top := float64(rackRow)-0.5, float64(rackRow)+0.5
+			points = plotter.XYs{{X: from, Y: bottom}, {X: to, Y: bottom}, {X: to, Y: top}, {X: from, Y: top},
+				{X: from, Y: bottom}}
 		}
-		line, err := plotter.NewLine(xy)
+		line, err := plotter.NewLine(points)
 		if err != nil {
 			return nil, err
 		}
-		line.Color, line.Width = troubleInk, vg.Points(1.2)
+		line.Color, line.Width = findingColor, vg.Points(1.2)
 		p.Add(line)
 	}
 	return p, nil
 }
 
-// reversed is a palette from bad to good: red is low.
-type reversed struct {
-	p interface{ Colors() []color.Color }
+// reversedPalette reverses the colors of a palette, so that low quality is red.
+type reversedPalette struct {
+	palette interface{ Colors() []color.Color }
 }
 
-func (r reversed) Colors() []color.Color {
-	c := slices.Clone(r.p.Colors())
-	slices.Reverse(c)
-	return c
+func (r reversedPalette) Colors() []color.Color {
+	colors := slices.Clone(r.palette.Colors())
+	slices.Reverse(colors)
+	return colors
 }
 
-// startUps is the distribution of start-up times.
-func (s *Summary) startUps() (*plot.Plot, error) {
+// startupPlot plots the cumulative distribution of start-up times.
+func (s *Summary) startupPlot() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "start-up: part of the sessions that play within"
 	p.X.Label.Text = "ms"
-	var xy plotter.XYs
-	for q := 0.0; q <= 1.0001; q += 0.01 {
-		if v := s.Whole.StartUp(math.Min(q, 1)); !math.IsNaN(v) {
-			xy = append(xy, plotter.XY{X: v, Y: q})
+	var points plotter.XYs
+	for quantile := 0.0; quantile <= 1.0001; quantile += 0.01 {
+		if startupMs := s.Whole.StartUp(math.Min(quantile, 1)); !math.IsNaN(startupMs) {
+			points = append(points, plotter.XY{X: startupMs, Y: quantile})
 		}
 	}
-	if len(xy) == 0 {
+	if len(points) == 0 {
 		return p, nil
 	}
-	line, err := plotter.NewLine(xy)
+	line, err := plotter.NewLine(points)
 	if err != nil {
 		return nil, err
 	}
-	line.Color = lineInk
+	line.Color = plotColor
 	p.Add(line, plotter.NewGrid())
 	return p, nil
 }
 
-func bars(title string, values plotter.Values, names []string) (*plot.Plot, error) {
+// barPlot plots named values; it is empty without values.
+func barPlot(title string, values plotter.Values, names []string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
 	if len(values) == 0 {
 		return p, nil
 	}
-	b, err := plotter.NewBarChart(values, vg.Points(math.Max(240/float64(len(values)), 3)))
+	chart, err := plotter.NewBarChart(values, vg.Points(math.Max(240/float64(len(values)), 3)))
 	if err != nil {
 		return nil, err
 	}
-	b.Color = lineInk
-	p.Add(b)
+	chart.Color = plotColor
+	p.Add(chart)
 	p.NominalX(names...)
 	if len(names) > 3 {
 		p.X.Tick.Label.Rotation, p.X.Tick.Label.XAlign, p.X.Tick.Label.YAlign = math.Pi/2, draw.XRight, draw.YCenter
@@ -227,70 +238,70 @@
 	return p, nil
 }
 
-// stalls is the part of each rack's reports with a stall.
-func (s *Summary) stalls() (*plot.Plot, error) {
-	var v plotter.Values
-	for _, r := range s.Racks {
+// stallPlot plots the share of each rack's reports that have a stall.
+func (s *Summary) stallPlot() (*plot.Plot, error) {
+	var shares plotter.Values
+	for _, rack := range s.Racks {
 		sum := &quality.Group{}
-		for _, g := range s.Cells[r] {
-			sum.Reports, sum.Stalled = sum.Reports+g.Reports, sum.Stalled+g.Stalled
+		for _, group := range s.GroupsByRack[rack] {
+			sum.Reports, sum.Stalled = sum.Reports+group.Reports, sum.Stalled+group.Stalled
 		}
-		v = append(v, float64(sum.Stalled)/math.Max(float64(sum.Reports), 1))
+		shares = append(shares, float64(sum.Stalled)/math.Max(float64(sum.Reports), 1))
 	}
-	return bars("reports with a stall, by rack", v, s.Racks)
+	return barPlot("reports with a stall, by rack", shares, s.Racks)
 }
 
-// causes is the worth lost by cause, the first ten.
-func (s *Summary) causes() (*plot.Plot, error) {
-	var v plotter.Values
+// causePlot plots the quality lost by cause: the ten largest, and the remainder without a cause, which is last.
+func (s *Summary) causePlot() (*plot.Plot, error) {
+	var losses plotter.Values
 	var names []string
-	for i, c := range s.Causes {
+	for i, cause := range s.Causes {
 		if i < 10 || i == len(s.Causes)-1 {
-			v, names = append(v, c.Lost), append(names, c.Cause)
+			losses, names = append(losses, cause.Lost), append(names, cause.Cause)
 		}
 	}
-	return bars("worth lost, by cause", v, names)
+	return barPlot("worth lost, by cause", losses, names)
 }
 
-// Draw writes the four plots into one file, by its ending.
+// Draw writes the four plots into one file, as SVG or PNG by the extension of its name.
 func (s *Summary) Draw(path string) error {
 	var plots [][]*plot.Plot
-	for _, row := range [][]func() (*plot.Plot, error){{s.rackMap}, {s.startUps, s.stalls, s.causes}} {
-		var line []*plot.Plot
-		for _, f := range row {
-			p, err := f()
+	for _, rowFuncs := range [][]func() (*plot.Plot, error){{s.rackHeatMap}, {s.startupPlot, s.stallPlot, s.causePlot}} {
+		var row []*plot.Plot
+		for _, newPlot := range rowFuncs {
+			p, err := newPlot()
 			if err != nil {
 				return fmt.Errorf("history: plot: %w", err)
 			}
-			line = append(line, p)
+			row = append(row, p)
 		}
-		plots = append(plots, line)
+		plots = append(plots, row)
 	}
-	top := vg.Points(math.Max(200, 60+14*float64(len(s.Racks))))
-	const width, low = 1000, 260
-	var c vg.CanvasSizer
+	heatMapHeight := vg.Points(math.Max(200, 60+14*float64(len(s.Racks))))
+	const width, lowerHeight = 1000, 260
+	var sizer vg.CanvasSizer
 	var save func(*os.File) error
 	switch strings.ToLower(filepath.Ext(path)) {
 	case ".svg":
-		svg := vgsvg.New(width, top+low)
-		c, save = svg, func(f *os.File) error { _, err := svg.WriteTo(f); return err }
+		svg := vgsvg.New(width, heatMapHeight+lowerHeight)
+		sizer, save = svg, func(file *os.File) error { _, err := svg.WriteTo(file); return err }
 	case ".png":
-		img := vgimg.New(width, top+low)
-		c, save = img, func(f *os.File) error { _, err := vgimg.PngCanvas{Canvas: img}.WriteTo(f); return err }
+		img := vgimg.New(width, heatMapHeight+lowerHeight)
+		sizer, save = img, func(file *os.File) error { _, err := vgimg.PngCanvas{Canvas: img}.WriteTo(file); return err }
 	default:
-		return fmt.Errorf("history: %s: the ending must be .svg or .png", path)
+		return fmt.Errorf("history: plot file %s: extension must be .svg or .png", path)
 	}
-	dc := draw.New(c)
-	dc.SetColor(color.White)
-	dc.Fill(dc.Rectangle.Path())
-	plots[0][0].Draw(draw.Crop(dc, 10, -10, low, -5))
+	canvas := draw.New(sizer)
+	canvas.SetColor(color.White)
+	canvas.Fill(canvas.Rectangle.Path())
+	plots[0][0].Draw(draw.Crop(canvas, 10, -10, lowerHeight, -5))
 	for i, p := range plots[1] {
-		w := vg.Length(width) / 3
-		p.Draw(draw.Crop(dc, w*vg.Length(i)+10, -w*vg.Length(2-i)-10, 5, -top))
+		plotWidth := vg.Length(width) / 3
+		p.Draw(draw.Crop(canvas, plotWidth*vg.Length(i)+10, -plotWidth*vg.Length(2-i)-10, 5, -heatMapHeight))
 	}
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("history: %w", err)
 	}
-	return errors.Join(save(f), f.Close())
+	return errors.Join(save(file), file.Close())
 }
