--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,11 +1,13 @@
-// Package trace writes the story of sampled sessions as OpenTelemetry traces to a
-// file: the request, each attempt, the play with its changes of rung, reports and
-// findings. It reads such a file back. It decides nothing but which sessions are
-// sampled, by a hash of the token's jti, so that every director samples the same
-// ones and their parts have one trace id.
+// Package trace writes sampled sessions as OpenTelemetry traces to a file, and
+// reads such a file back. A trace has the request, each attempt, and the playback
+// with its changes of rung, reports and findings.
 //
-// Spans go to the file on a goroutine of the SDK; where the disk is slower than
-// sessions end, the SDK drops spans rather than wait.
+// Sessions are sampled by a hash of the session token's jti, from which the trace
+// ID is derived too: every director samples the same sessions, and the spans that
+// different directors write of a session have the same trace ID.
+//
+// Spans are written by a goroutine of the OpenTelemetry SDK. If sessions end faster
+// than the disk can write them, the SDK drops spans and does not block.
 package trace
 
 import (
@@ -30,95 +32,97 @@
 	oteltrace "go.opentelemetry.io/otel/trace"
 )
 
-// Tracer makes the traces of one director.
+// Tracer writes the traces of one director. A nil Tracer samples no session.
 type Tracer struct {
-	provider *sdk.TracerProvider
-	tracer   oteltrace.Tracer
-	file     io.Closer
-	director string
-	below    uint64 // hashes under this are sampled
+	provider    *sdk.TracerProvider
+	tracer      oteltrace.Tracer
+	file        io.Closer
+	director    string
+	sampleBelow uint64 // sessions whose jti has a smaller hash are sampled; math.MaxUint64: all
 }
 
-type idKey struct{}
+// jtiKey is the context key of a session's jti.
+type jtiKey struct{}
 
-// ids derives the trace id from the jti that the context carries.
-type ids struct{}
+// idGenerator derives the trace ID from the jti in the context. Span IDs are random.
+type idGenerator struct{}
 
-func (ids) NewIDs(ctx context.Context) (t oteltrace.TraceID, s oteltrace.SpanID) {
-	jti, _ := ctx.Value(idKey{}).(string)
-	binary.BigEndian.PutUint64(t[:], xxhash.Sum64String(jti)|1)
-	binary.BigEndian.PutUint64(t[8:], xxhash.Sum64String(jti+"\x00"))
-	return t, ids{}.NewSpanID(ctx, t)
+func (idGenerator) NewIDs(ctx context.Context) (traceID oteltrace.TraceID, spanID oteltrace.SpanID) {
+	jti, _ := ctx.Value(jtiKey{}).(string)
+	binary.BigEndian.PutUint64(traceID[:], xxhash.Sum64String(jti)|1) // |1: an ID of zeros is not valid
+	binary.BigEndian.PutUint64(traceID[8:], xxhash.Sum64String(jti+"\x00"))
+	return traceID, idGenerator{}.NewSpanID(ctx, traceID)
 }
 
-func (ids) NewSpanID(context.Context, oteltrace.TraceID) (s oteltrace.SpanID) {
-	binary.BigEndian.PutUint64(s[:], rand.Uint64()|1)
-	return s
+func (idGenerator) NewSpanID(context.Context, oteltrace.TraceID) (spanID oteltrace.SpanID) {
+	binary.BigEndian.PutUint64(spanID[:], rand.Uint64()|1)
+	return spanID
 }
 
-// Open appends to a file; part is the part of the sessions that is sampled, 0 to 1.
-func Open(path, director string, part float64) (*Tracer, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+// Open returns a Tracer that appends to a file and samples a fraction of the sessions, 0 to 1.
+func Open(path, director string, fraction float64) (*Tracer, error) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	exp, err := stdouttrace.New(stdouttrace.WithWriter(f))
+	exporter, err := stdouttrace.New(stdouttrace.WithWriter(file))
 	if err != nil {
-		f.Close()
+		file.Close()
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	t := &Tracer{file: f, director: director, below: math.MaxUint64}
-	if part < 1 {
-		t.below = uint64(math.Max(part, 0) * (1 << 63) * 2)
+	t := &Tracer{file: file, director: director, sampleBelow: math.MaxUint64}
+	if fraction < 1 {
+		t.sampleBelow = uint64(math.Max(fraction, 0) * (1 << 63) * 2)
 	}
-	t.provider = sdk.NewTracerProvider(sdk.WithBatcher(exp, sdk.WithBatchTimeout(time.Second)), sdk.WithIDGenerator(ids{}))
+	t.provider = sdk.NewTracerProvider(sdk.WithBatcher(exporter, sdk.WithBatchTimeout(time.Second)),
+		sdk.WithIDGenerator(idGenerator{}))
 	t.tracer = t.provider.Tracer("headmill")
 	return t, nil
 }
 
-// Close writes what waits; spans that have not ended are lost.
+// Close writes the spans that have ended and closes the file. Spans that have not ended are lost.
 func (t *Tracer) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	err := t.provider.Shutdown(ctx)
-	if cerr := t.file.Close(); err == nil {
-		err = cerr
+	if closeErr := t.file.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
 
-// Story is one session's trace. A nil one takes all calls and does nothing.
+// Story is the trace of one session. All methods of a nil Story do nothing.
 type Story struct {
-	t             *Tracer
+	tracer        *Tracer
 	ctx           context.Context
-	root, attempt oteltrace.Span
-	play          oteltrace.Span
+	root, attempt oteltrace.Span // nil where none is open
+	play          oteltrace.Span // nil where none is open
 }
 
-// Begin opens a story; nil where the session is not sampled.
+// Begin starts the trace of a session; nil if the session is not sampled.
 func (t *Tracer) Begin(jti string, attrs ...attribute.KeyValue) *Story {
-	if t == nil || t.below < math.MaxUint64 && xxhash.Sum64String(jti) >= t.below {
+	if t == nil || t.sampleBelow < math.MaxUint64 && xxhash.Sum64String(jti) >= t.sampleBelow {
 		return nil
 	}
-	s := &Story{t: t}
-	s.ctx, s.root = t.tracer.Start(context.WithValue(context.Background(), idKey{}, jti), "session",
+	s := &Story{tracer: t}
+	s.ctx, s.root = t.tracer.Start(context.WithValue(context.Background(), jtiKey{}, jti), "session",
 		oteltrace.WithAttributes(append(attrs, attribute.String("jti", jti), attribute.String("director", t.director))...))
 	return s
 }
 
-// Attempt opens an attempt, Settle ends it with its outcome.
+// Attempt starts the span of an attempt. Settle ends it.
 func (s *Story) Attempt(attrs ...attribute.KeyValue) {
 	if s != nil {
-		_, s.attempt = s.t.tracer.Start(s.ctx, "attempt", oteltrace.WithAttributes(attrs...))
+		_, s.attempt = s.tracer.tracer.Start(s.ctx, "attempt", oteltrace.WithAttributes(attrs...))
 	}
 }
 
-// Settle ends the attempt that is out.
-func (s *Story) Settle(outcome string, good bool) {
+// Settle ends the span of the pending attempt with its outcome, and marks it as an error if the attempt failed.
+func (s *Story) Settle(outcome string, succeeded bool) {
 	if s == nil || s.attempt == nil {
 		return
 	}
-	if !good {
+	if !succeeded {
 		s.attempt.SetStatus(codes.Error, outcome)
 	}
 	s.attempt.SetAttributes(attribute.String("outcome", outcome))
@@ -126,22 +130,22 @@
 	s.attempt = nil
 }
 
-// Play opens the span in which the session plays.
+// Play starts the span of the playback, if it is not open already. End ends it.
 func (s *Story) Play(attrs ...attribute.KeyValue) {
 	if s != nil && s.play == nil {
-		_, s.play = s.t.tracer.Start(s.ctx, "play", oteltrace.WithAttributes(attrs...))
+		_, s.play = s.tracer.tracer.Start(s.ctx, "play", oteltrace.WithAttributes(attrs...))
 	}
 }
 
-// Note adds something seen while it plays.
-func (s *Story) Note(what string, attrs ...attribute.KeyValue) {
+// Note adds an event to the span of the playback. It is ignored before Play.
+func (s *Story) Note(event string, attrs ...attribute.KeyValue) {
 	if s != nil && s.play != nil {
-		s.play.AddEvent(what, oteltrace.WithAttributes(attrs...))
+		s.play.AddEvent(event, oteltrace.WithAttributes(attrs...))
 	}
 }
 
-// End ends the story.
-func (s *Story) End(how string) {
+// End ends the trace and all its open spans, with the reason for the session's end. Further calls do nothing.
+func (s *Story) End(reason string) {
 	if s == nil || s.root == nil {
 		return
 	}
@@ -149,24 +153,26 @@
 	if s.play != nil {
 		s.play.End()
 	}
-	s.root.SetAttributes(attribute.String("end", how))
+	s.root.SetAttributes(attribute.String("end", reason))
 	s.root.End()
 	s.root, s.play = nil, nil
 }
 
-// Line is one line of a story that is told.
+// Line is one entry of a session's trace in text form: the begin or end of a span, or an event.
 type Line struct {
 	At   time.Time
 	Text string
 }
 
-// Tell reads a file of traces and tells what it has of one jti, by time.
+// Tell reads a file of traces and returns the entries of the session with a jti, by time. If some lines of the file are
+// not valid, it returns the entries of the others and an error with the number of invalid lines.
 func Tell(r io.Reader, jti string) ([]Line, error) {
+	// The types have the part of stdouttrace's JSON that is shown.
 	type attr struct {
 		Key   string
 		Value struct{ Value any }
 	}
-	type span struct {
+	type spanRecord struct {
 		Name               string
 		SpanContext        struct{ TraceID string }
 		StartTime, EndTime time.Time
@@ -178,39 +184,41 @@
 		}
 		Status struct{ Code, Description string }
 	}
-	var want oteltrace.TraceID
-	want, _ = ids{}.NewIDs(context.WithValue(context.Background(), idKey{}, jti))
-	text := func(list []attr) string {
+	var traceID oteltrace.TraceID
+	traceID, _ = idGenerator{}.NewIDs(context.WithValue(context.Background(), jtiKey{}, jti))
+	formatAttrs := func(attrs []attr) string {
 		var b strings.Builder
-		for _, a := range list {
+		for _, a := range attrs {
 			fmt.Fprintf(&b, " %s=%v", a.Key, a.Value.Value)
 		}
 		return b.String()
 	}
 	var out []Line
-	lines, bad := bufio.NewReader(r), 0
+	reader, invalid := bufio.NewReader(r), 0
 	for {
-		line, rerr := lines.ReadBytes('\n')
-		if rerr != nil { // a last line without its end is still being written, or its writer was killed there
+		line, readErr := reader.ReadBytes('\n')
+		if readErr != nil { // a last line without a newline is still being written, or its writer was killed
 			break
 		}
-		var s span
-		if json.Unmarshal(line, &s) != nil { // a killed writer's half line, with the next one's first behind it
-			bad++
+		var span spanRecord
+		// A killed writer leaves a partial line, to which the next writer appends its first line.
+		if json.Unmarshal(line, &span) != nil {
+			invalid++
 			continue
 		}
-		if s.SpanContext.TraceID != want.String() {
+		if span.SpanContext.TraceID != traceID.String() {
 			continue
 		}
-		out = append(out, Line{s.StartTime, s.Name + " begins" + text(s.Attributes)},
-			Line{s.EndTime, fmt.Sprintf("%s ends after %.0f ms", s.Name, float64(s.EndTime.Sub(s.StartTime).Microseconds())/1000)})
-		for _, e := range s.Events {
-			out = append(out, Line{e.Time, "  " + e.Name + text(e.Attributes)})
+		out = append(out, Line{span.StartTime, span.Name + " begins" + formatAttrs(span.Attributes)},
+			Line{span.EndTime, fmt.Sprintf("%s ends after %.0f ms", span.Name,
+				float64(span.EndTime.Sub(span.StartTime).Microseconds())/1000)})
+		for _, event := range span.Events {
+			out = append(out, Line{event.Time, "  " + event.Name + formatAttrs(event.Attributes)})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Line) int { return a.At.Compare(b.At) })
-	if bad > 0 {
-		return out, fmt.Errorf("trace: %d lines can't be read", bad)
+	if invalid > 0 {
+		return out, fmt.Errorf("trace: %d lines are not valid JSON spans and were skipped", invalid)
 	}
 	return out, nil
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -10,77 +10,82 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-func TestStoryIsToldAcrossDirectors(t *testing.T) {
+// The spans that two directors write of one session are read back as one trace, in order of time, and a partial line is
+// skipped.
+func TestTraceAcrossDirectors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t.json")
-	for d := range 2 { // two directors, one session: one trace
-		tr, err := Open(path, fmt.Sprintf("d%d", d), 1)
+	for director := range 2 {
+		tracer, err := Open(path, fmt.Sprintf("d%d", director), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := tr.Begin("j-1", attribute.String("title", "t"))
-		s.Attempt(attribute.String("box", "b1"))
-		s.Settle("timed out", false)
-		s.Attempt(attribute.String("box", "b2"))
-		s.Settle("plays", true)
-		s.Play(attribute.String("box", "b2"))
-		s.Note("report", attribute.Float64("stall_ms", 1200))
-		s.End("done")
-		s.End("twice")
-		tr.Begin("j-2").End("refused")
-		if err := tr.Close(); err != nil {
+		story := tracer.Begin("j-1", attribute.String("title", "t"))
+		story.Attempt(attribute.String("box", "b1"))
+		story.Settle("timed out", false)
+		story.Attempt(attribute.String("box", "b2"))
+		story.Settle("plays", true)
+		story.Play(attribute.String("box", "b2"))
+		story.Note("report", attribute.Float64("stall_ms", 1200))
+		story.End("done")
+		story.End("twice")
+		tracer.Begin("j-2").End("refused")
+		if err := tracer.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	text, _ := os.ReadFile(path)
-	lines, err := Tell(strings.NewReader(string(text)+`{"Name":"half`), "j-1")
+	content, _ := os.ReadFile(path)
+	lines, err := Tell(strings.NewReader(string(content)+`{"Name":"half`), "j-1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b strings.Builder
-	for i, l := range lines {
-		if i > 0 && l.At.Before(lines[i-1].At) {
-			t.Error("not by time")
+	var text strings.Builder
+	for i, line := range lines {
+		if i > 0 && line.At.Before(lines[i-1].At) {
+			t.Error("lines are not in order of time")
 		}
-		fmt.Fprintln(&b, l.Text)
+		fmt.Fprintln(&text, line.Text)
 	}
-	for what, n := range map[string]int{"session begins title=t jti=j-1": 2, "attempt begins box=b1 outcome=timed out": 2, "outcome=plays": 2,
-		"  report stall_ms=1200": 2, "end=done": 2, "j-2": 0} {
-		if strings.Count(b.String(), what) != n {
-			t.Errorf("%q is told %d times, want %d:\n%s", what, strings.Count(b.String(), what), n, b.String())
+	for expected, count := range map[string]int{"session begins title=t jti=j-1": 2,
+		"attempt begins box=b1 outcome=timed out": 2, "outcome=plays": 2, "  report stall_ms=1200": 2, "end=done": 2, "j-2": 0} {
+		if strings.Count(text.String(), expected) != count {
+			t.Errorf("%q occurs %d times, want %d:\n%s", expected, strings.Count(text.String(), expected), count, text.String())
 		}
 	}
-	// A director was killed in the middle of a line and another run wrote on: the rest is told, the loss is said.
-	broken := `{"Name":"half` + "\n" + string(text)
-	if again, err := Tell(strings.NewReader(broken), "j-1"); err == nil || len(again) != len(lines) {
-		t.Errorf("behind a broken line %d lines of %d are told, %v", len(again), len(lines), err)
+	// A director was killed while writing a line and a later run appended to it: the other lines are returned, with an
+	// error.
+	broken := `{"Name":"half` + "\n" + string(content)
+	if remaining, err := Tell(strings.NewReader(broken), "j-1"); err == nil || len(remaining) != len(lines) {
+		t.Errorf("with an invalid line: %d lines of %d, error %v", len(remaining), len(lines), err)
 	}
 }
 
-// The same sessions are sampled everywhere, about as many as asked for; the others cost nothing and may be told all.
+// All directors sample the same sessions, at about the configured fraction. The methods of a nil Story and of a nil
+// Tracer do nothing.
 func TestSampling(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t.json")
-	var seen [2]int
-	for d := range 2 {
-		tr, err := Open(path, "d", 0.1)
+	var sampledSum [2]int // of the sampled sessions' numbers
+	for director := range 2 {
+		tracer, err := Open(path, "d", 0.1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 2000 {
-			if s := tr.Begin(fmt.Sprint(i)); s != nil {
-				seen[d] += i
+			if story := tracer.Begin(fmt.Sprint(i)); story != nil {
+				sampledSum[director] += i
 			} else {
-				s.Attempt()
-				s.Settle("x", false)
-				s.Play()
-				s.Note("x")
-				s.End("x")
+				story.Attempt()
+				story.Settle("x", false)
+				story.Play()
+				story.Note("x")
+				story.End("x")
 			}
 		}
-		tr.Close()
+		tracer.Close()
 	}
-	if seen[0] != seen[1] || seen[0] < 2000*2000/2/20 || seen[0] > 2000*2000/2/5 {
-		t.Errorf("sampled %v", seen)
+	if sampledSum[0] != sampledSum[1] || sampledSum[0] < 2000*2000/2/20 ||
+		sampledSum[0] > 2000*2000/2/5 {
+		t.Errorf("sums of the sampled sessions' numbers: %v", sampledSum)
 	}
-	var none *Tracer
-	none.Begin("j").End("")
+	var nilTracer *Tracer
+	nilTracer.Begin("j").End("")
 }
