--- a/internal/standin/balancer/balancer.go
+++ b/internal/standin/balancer/balancer.go
@@ -24,53 +24,53 @@
 
 // Balancer is a running stand-in.
 type Balancer struct {
-	ln      net.Listener
-	mu      sync.Mutex
-	servers []*Server
-	stop    chan struct{}
+	listener net.Listener
+	mu       sync.Mutex
+	servers  []*Server
+	stop     chan struct{}
 }
 
 // Start listens and checks each agent at the interval.
-func Start(every time.Duration, servers ...*Server) (*Balancer, error) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+func Start(interval time.Duration, servers ...*Server) (*Balancer, error) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("balancer: %w", err)
 	}
-	b := &Balancer{ln: ln, servers: servers, stop: make(chan struct{})}
-	for _, s := range servers {
-		b.check(s)
+	balancer := &Balancer{listener: listener, servers: servers, stop: make(chan struct{})}
+	for _, server := range servers {
+		balancer.checkAgent(server)
 		go func() {
-			t := time.NewTicker(every)
-			defer t.Stop()
+			ticker := time.NewTicker(interval)
+			defer ticker.Stop()
 			for {
 				select {
-				case <-b.stop:
+				case <-balancer.stop:
 					return
-				case <-t.C:
-					b.check(s)
+				case <-ticker.C:
+					balancer.checkAgent(server)
 				}
 			}
 		}()
 	}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go b.serve(c)
+			go balancer.forward(conn)
 		}
 	}()
-	return b, nil
+	return balancer, nil
 }
 
 // Addr is where it listens.
-func (b *Balancer) Addr() string { return b.ln.Addr().String() }
+func (b *Balancer) Addr() string { return b.listener.Addr().String() }
 
 // Close ends it.
 func (b *Balancer) Close() {
 	close(b.stop)
-	b.ln.Close()
+	b.listener.Close()
 }
 
 // Look returns what is known of a server.
@@ -81,23 +81,23 @@
 }
 
 // check reads an agent's line: words separated by blanks, of which a percentage is the weight.
-func (b *Balancer) check(s *Server) {
-	up, weight := false, s.Weight
-	if c, err := net.DialTimeout("tcp4", s.Agent, time.Second); err == nil {
-		c.SetReadDeadline(time.Now().Add(time.Second))
-		line, _ := bufio.NewReader(c).ReadString('\n')
-		c.Close()
-		for _, w := range strings.Fields(strings.SplitN(line, "#", 2)[0]) {
-			switch p, isWeight := strings.CutSuffix(w, "%"); {
+func (b *Balancer) checkAgent(server *Server) {
+	up, weight := false, server.Weight
+	if conn, err := net.DialTimeout("tcp4", server.Agent, time.Second); err == nil {
+		conn.SetReadDeadline(time.Now().Add(time.Second))
+		line, _ := bufio.NewReader(conn).ReadString('\n')
+		conn.Close()
+		for _, word := range strings.Fields(strings.SplitN(line, "#", 2)[0]) {
+			switch percentage, isWeight := strings.CutSuffix(word, "%"); {
 			case isWeight:
-				weight, _ = strconv.Atoi(p)
-			case w == "up" || w == "ready":
+				weight, _ = strconv.Atoi(percentage)
+			case word == "up" || word == "ready":
 				up = true
 			}
 		}
 	}
 	b.mu.Lock()
-	s.Up, s.Weight = up, weight
+	server.Up, server.Weight = up, weight
 	b.mu.Unlock()
 }
 
@@ -107,14 +107,14 @@
 	defer b.mu.Unlock()
 	var best *Server
 	total := 0
-	for _, s := range b.servers {
-		if !s.Up {
+	for _, server := range b.servers {
+		if !server.Up {
 			continue
 		}
-		s.credit += s.Weight
-		total += s.Weight
-		if best == nil || s.credit > best.credit {
-			best = s
+		server.credit += server.Weight
+		total += server.Weight
+		if best == nil || server.credit > best.credit {
+			best = server
 		}
 	}
 	if best == nil {
@@ -124,14 +124,14 @@
 	return best.Addr
 }
 
-func (b *Balancer) serve(c net.Conn) {
-	defer c.Close()
+func (b *Balancer) forward(client net.Conn) {
+	defer client.Close()
 	addr := b.pick()
-	o, err := net.Dial("tcp4", addr)
+	server, err := net.Dial("tcp4", addr)
 	if err != nil {
 		return
 	}
-	defer o.Close()
-	go func() { io.Copy(o, c); o.(*net.TCPConn).CloseWrite() }()
-	io.Copy(c, o)
+	defer server.Close()
+	go func() { io.Copy(server, client); server.(*net.TCPConn).CloseWrite() }()
+	io.Copy(client, server)
 }
--- /dev/null
+++ b/internal/standin/cluster/cluster.go
@@ -0,0 +1,391 @@
+// Package stage sets up a small fleet on loopback for rehearsals and for
+// trying things out: a list service in this process, directors and boxes in
+// processes of their own, and relays between them where wanted.
+package cluster
+
+import (
+	"bufio"
+	"crypto/rand"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"headmill/internal/config"
+	"headmill/internal/standin/discovery"
+	"headmill/internal/standin/medianode"
+	"headmill/internal/standin/relay"
+	"headmill/internal/token"
+)
+
+// Spec says what the fleet looks like.
+type Spec struct {
+	Directors, Boxes       int
+	Racks                  int
+	Relays                 bool // relays that record between viewers, directors, boxes and the list
+	Base                   config.Settings
+	Box                    medianode.Config // what all boxes share
+	ListStateDelayMs       float64
+	ListAddMs              float64
+	ListHeartbeatTimeoutMs float64
+	Exe                    string // this program
+	Dir                    string // for settings, keys and logs
+}
+
+// Proc is one process of the fleet.
+type Proc struct {
+	Name     string
+	Addr     string // where it listens itself
+	Operator string // its operators' API
+	cmd      *exec.Cmd
+	stdin    io.WriteCloser
+	exited   chan struct{}
+	Err      error // after done
+}
+
+// Alive tells whether the process runs.
+func (p *Proc) Alive() bool {
+	select {
+	case <-p.exited:
+		return false
+	default:
+		return true
+	}
+}
+
+// Kill ends it as kill -9 does.
+func (p *Proc) Kill() {
+	p.cmd.Process.Kill()
+	<-p.exited
+}
+
+// Term asks it to stop and waits for at most the time.
+func (p *Proc) Term(wait time.Duration) error {
+	p.cmd.Process.Signal(syscall.SIGTERM)
+	select {
+	case <-p.exited:
+		return p.Err
+	case <-time.After(wait):
+		p.Kill()
+		return errors.New("did not stop in time")
+	}
+}
+
+// Pid is the process's number.
+func (p *Proc) Pid() int { return p.cmd.Process.Pid }
+
+// Member is a director or a box with its relays.
+type Member struct {
+	Name           string
+	Relay          *relay.Relay            // before it: viewers to a director, directors to a box
+	DiscoveryRelay *relay.Relay            // a director's way to the list service
+	Boxes          map[string]*relay.Relay // a director's own ways to the boxes are the boxes' fronts
+	URL            string
+	Proc           *Proc
+	Conf           string
+	Box            medianode.Config
+	listenerFile   *os.File
+	mu             sync.Mutex
+}
+
+// Stage is a running fleet.
+type Cluster struct {
+	Spec      Spec
+	Log       *relay.Log
+	Discovery *discovery.Server
+	Directors []*Member
+	Boxes     []*Member
+	Key       token.Key
+	Keys      []byte
+}
+
+// New makes keys, settings and relays, and starts the list service; nothing else runs yet.
+func New(spec Spec) (*Cluster, error) {
+	cluster := &Cluster{Spec: spec, Log: relay.NewLog()}
+	seed := make([]byte, 32)
+	if _, err := rand.Read(seed); err != nil {
+		return nil, err
+	}
+	cluster.Key = token.NewKey("k1", seed)
+	cluster.Keys = token.FormatKeys([]token.Key{cluster.Key}, false)
+	if err := os.WriteFile(filepath.Join(spec.Dir, "keys.json"), cluster.Keys, 0o644); err != nil {
+		return nil, err
+	}
+	private := token.FormatKeys([]token.Key{cluster.Key}, true)
+	if err := os.WriteFile(filepath.Join(spec.Dir, "keys-private.json"), private, 0o600); err != nil {
+		return nil, err
+	}
+	var err error
+	cluster.Discovery, err = discovery.Start(discovery.Config{Addr: "127.0.0.1:0", StateDelayMs: spec.ListStateDelayMs,
+		StartDelayMs: spec.ListAddMs, SilentMs: spec.ListHeartbeatTimeoutMs})
+	if err != nil {
+		return nil, err
+	}
+	for i := range spec.Boxes {
+		node := &Member{Name: fmt.Sprintf("b%d", i), Box: spec.Box}
+		node.Box.Cell, node.Box.Rack = i, i%spec.Racks
+		node.Box.Keys, node.Box.ListAddr = cluster.Keys, cluster.Discovery.Addr()
+		if spec.Relays {
+			if node.Relay, err = relay.New(cluster.Log, node.Name, "127.0.0.1:1", false); err != nil {
+				return nil, err
+			}
+			node.Box.PublicAddr = node.Relay.Addr()
+		}
+		cluster.Boxes = append(cluster.Boxes, node)
+	}
+	return cluster, cluster.configureDirectors()
+}
+
+// directors makes the settings of all directors; each must know the others' addresses.
+func (cluster *Cluster) configureDirectors() error {
+	var names, urls []string
+	for i := range cluster.Spec.Directors {
+		director := &Member{Name: fmt.Sprintf("d%d", i)}
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
+		if err != nil {
+			return err
+		}
+		addr := listener.Addr().String()
+		if director.listenerFile, err = listener.(*net.TCPListener).File(); err != nil {
+			return err
+		}
+		listener.Close()
+		director.URL = "http://" + addr
+		if cluster.Spec.Relays {
+			if director.Relay, err = relay.New(cluster.Log, director.Name, addr, false); err != nil {
+				return err
+			}
+			director.URL = "http://" + director.Relay.Addr()
+			if director.DiscoveryRelay, err = relay.New(cluster.Log, director.Name+"/list", cluster.Discovery.Addr(), false); err != nil {
+				return err
+			}
+		}
+		names, urls = append(names, director.Name), append(urls, director.URL)
+		cluster.Directors = append(cluster.Directors, director)
+	}
+	for _, director := range cluster.Directors {
+		settings := cluster.Spec.Base
+		settings.Director.Name, settings.Director.Directors, settings.Director.URLs = director.Name, names, urls
+		settings.Director.Listen, settings.List.Addr, settings.Tokens.Keys = "127.0.0.1:0", cluster.Discovery.Addr(), "keys.json"
+		settings.Director.Operator = "127.0.0.1:0"
+		settings.Director.FirstStart = true
+		if director.DiscoveryRelay != nil {
+			settings.List.Addr = director.DiscoveryRelay.Addr()
+		}
+		settings.Log.File = filepath.Join(cluster.Spec.Dir, director.Name+".log")
+		text, err := toml.Marshal(settings)
+		if err != nil {
+			return err
+		}
+		director.Conf = filepath.Join(cluster.Spec.Dir, director.Name+".toml")
+		if err := os.WriteFile(director.Conf, text, 0o644); err != nil {
+			return err
+		}
+		if _, err := config.Load(director.Conf); err != nil {
+			return fmt.Errorf("stage: its own settings: %w", err)
+		}
+	}
+	return nil
+}
+
+// spawn starts this program as a member. The child ends when its standard input does, so that nothing is left
+// behind where this process dies.
+func (cluster *Cluster) spawn(name string, files []*os.File, args ...string) (*Proc, error) {
+	cmd := exec.Command(cluster.Spec.Exe, args...)
+	cmd.ExtraFiles = files
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a Ctrl-C is for this process; it stops the others in order
+	stderr, err := os.OpenFile(filepath.Join(cluster.Spec.Dir, name+".err"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if err != nil {
+		return nil, err
+	}
+	defer stderr.Close()
+	cmd.Stderr = stderr
+	proc := &Proc{Name: name, cmd: cmd, exited: make(chan struct{})}
+	if proc.stdin, err = cmd.StdinPipe(); err != nil {
+		return nil, err
+	}
+	stdout, err := cmd.StdoutPipe()
+	if err != nil {
+		return nil, err
+	}
+	if err := cmd.Start(); err != nil {
+		return nil, fmt.Errorf("stage: %s: %w", name, err)
+	}
+	line := make(chan string, 1)
+	go func() {
+		reader := bufio.NewReader(stdout)
+		first, _ := reader.ReadString('\n')
+		line <- first
+		io.Copy(io.Discard, reader)
+		proc.Err = cmd.Wait()
+		close(proc.exited)
+	}()
+	select {
+	case first := <-line:
+		var ready struct {
+			Addr     string `json:"addr"`
+			Operator string `json:"operator"`
+		}
+		if json.Unmarshal([]byte(first), &ready) != nil || ready.Addr == "" {
+			<-proc.exited
+			text, _ := os.ReadFile(stderr.Name())
+			return nil, fmt.Errorf("stage: %s did not start: %s", name, text)
+		}
+		proc.Addr, proc.Operator = ready.Addr, ready.Operator
+	case <-time.After(20 * time.Second):
+		cmd.Process.Kill()
+		return nil, fmt.Errorf("stage: %s did not start in 20 s", name)
+	}
+	return proc, nil
+}
+
+// StartBox starts a box's process; cold says that it has just been switched on.
+func (cluster *Cluster) StartBox(node *Member, cold bool) error {
+	node.Box.Cold, node.Box.Addr = cold, "127.0.0.1:0"
+	conf, err := json.Marshal(node.Box)
+	if err != nil {
+		return err
+	}
+	path := filepath.Join(cluster.Spec.Dir, node.Name+".json")
+	if err := os.WriteFile(path, conf, 0o644); err != nil {
+		return err
+	}
+	proc, err := cluster.spawn(node.Name, nil, "box", path)
+	if err != nil {
+		return err
+	}
+	node.Proc = proc
+	if node.Relay != nil {
+		node.Relay.SetTarget(proc.Addr)
+		return node.Relay.Refuse(false)
+	}
+	return nil
+}
+
+// StartDirector starts a director's process on its own socket; first says that no run of it took tokens before.
+func (cluster *Cluster) StartDirector(director *Member, first bool) error {
+	args := []string{"serve", director.Conf, "--listen-fd", "3", "--follow-stdin"}
+	if !first {
+		args = append(args, "--again")
+	}
+	proc, err := cluster.spawn(director.Name, []*os.File{director.listenerFile}, args...)
+	if err == nil {
+		director.Proc = proc
+	}
+	return err
+}
+
+// Start starts all and waits until every director knows every box.
+func (cluster *Cluster) Start() error {
+	errs := make(chan error, len(cluster.Boxes)+len(cluster.Directors))
+	for _, node := range cluster.Boxes {
+		go func() { errs <- cluster.StartBox(node, false) }()
+	}
+	for _, director := range cluster.Directors {
+		go func() { errs <- cluster.StartDirector(director, true) }()
+	}
+	var err error
+	for range cap(errs) {
+		err = errors.Join(err, <-errs)
+	}
+	if err != nil {
+		return err
+	}
+	for _, director := range cluster.Directors {
+		if err := cluster.WaitDirector(director, len(cluster.Boxes)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// WaitDirector waits until a director knows so many boxes.
+func (cluster *Cluster) WaitDirector(director *Member, nodes int) error {
+	client := &http.Client{Timeout: time.Second}
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if !director.Proc.Alive() {
+			return fmt.Errorf("stage: %s has ended: %w", director.Name, director.Proc.Err)
+		}
+		if resp, err := client.Get("http://" + director.Proc.Addr + "/healthz"); err == nil {
+			var known int
+			fmt.Fscanf(resp.Body, "ok\nboxes %d\n", &known)
+			resp.Body.Close()
+			if known >= nodes {
+				return nil
+			}
+		}
+	}
+	return fmt.Errorf("stage: %s does not know its boxes after 20 s", director.Name)
+}
+
+// WaitNoBoxes waits until a director knows that no box is left.
+func (cluster *Cluster) WaitNoBoxes(director *Member) error {
+	client := &http.Client{Timeout: time.Second}
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if resp, err := client.Get("http://" + director.Proc.Addr + "/healthz"); err == nil {
+			resp.Body.Close()
+			if resp.StatusCode == 503 {
+				return nil
+			}
+		}
+	}
+	return fmt.Errorf("stage: %s still knows boxes after 20 s", director.Name)
+}
+
+// Fault switches a box's own faults.
+func (cluster *Cluster) SetFaults(node *Member, faults medianode.Faults) error {
+	if node.Proc == nil || !node.Proc.Alive() {
+		return nil
+	}
+	reader, writer := io.Pipe()
+	go func() { writer.CloseWithError(json.NewEncoder(writer).Encode(faults)) }()
+	client := &http.Client{Timeout: time.Second}
+	resp, err := client.Post("http://"+node.Proc.Addr+"/fault", "application/json", reader)
+	if err == nil {
+		resp.Body.Close()
+	}
+	return err
+}
+
+// Close ends all: directors in order, then the rest.
+func (cluster *Cluster) Close() {
+	var wg sync.WaitGroup
+	for _, director := range cluster.Directors {
+		if director.Proc != nil && director.Proc.Alive() {
+			wg.Add(1)
+			go func() {
+				defer wg.Done()
+				director.Proc.cmd.Process.Signal(syscall.SIGTERM) // twice: in a hurry
+				time.Sleep(50 * time.Millisecond)
+				director.Proc.Term(5 * time.Second)
+			}()
+		}
+	}
+	wg.Wait()
+	for _, node := range cluster.Boxes {
+		if node.Proc != nil && node.Proc.Alive() {
+			node.Proc.Kill()
+		}
+		if node.Relay != nil {
+			node.Relay.Close()
+		}
+	}
+	for _, director := range cluster.Directors {
+		if director.Relay != nil {
+			director.Relay.Close()
+			director.DiscoveryRelay.Close()
+		}
+		director.listenerFile.Close()
+	}
+	cluster.Discovery.Close()
+}
--- a/internal/standin/cluster/page.go
+++ b/internal/standin/cluster/page.go
@@ -8,29 +8,29 @@
 )
 
 //go:embed page.html
-var page []byte
+var pageHTML []byte
 
 // Page serves a page that plays a title in dash.js and shows what there is to see: box, rung, buffer, what the box
 // tells (CMSD), the events of the session API. script is the path of dash.js; info is what the page is told.
 func Page(script string, info any) (addr string, err error) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	text, err := json.Marshal(info)
+	infoJSON, err := json.Marshal(info)
 	if err != nil {
 		return "", err
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /{$}", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/html; charset=utf-8")
-		w.Write(page)
+		w.Write(pageHTML)
 	})
 	mux.HandleFunc("GET /up.json", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		w.Write(text)
+		w.Write(infoJSON)
 	})
 	mux.HandleFunc("GET /dash.js", func(w http.ResponseWriter, r *http.Request) { http.ServeFile(w, r, script) })
-	go http.Serve(ln, mux)
-	return ln.Addr().String(), nil
+	go http.Serve(listener, mux)
+	return listener.Addr().String(), nil
 }
--- a/internal/standin/medianode/cmaf.go
+++ b/internal/standin/medianode/cmaf.go
@@ -2,85 +2,95 @@
 
 import "encoding/binary"
 
-// The few boxes of ISO/IEC 14496-12 and CMAF (ISO/IEC 23000-19) that a player's parser needs: an
-// initialization segment with one AVC track, and media segments of one fragment each. The samples are in card.go.
+// This file writes the few boxes of ISO/IEC 14496-12 and CMAF (ISO/IEC 23000-19) that a player's parser needs: an
+// initialization segment with one AVC track, and media segments of one fragment each. The samples come from
+// testcard.go.
 
-func mp4(kind string, parts ...[]byte) []byte {
-	n := 8
-	for _, p := range parts {
-		n += len(p)
+// mp4Box returns a Box: size, type and content.
+func mp4Box(kind string, parts ...[]byte) []byte {
+	size := 8
+	for _, part := range parts {
+		size += len(part)
 	}
-	b := make([]byte, 0, n)
-	b = binary.BigEndian.AppendUint32(b, uint32(n))
-	b = append(b, kind...)
-	for _, p := range parts {
-		b = append(b, p...)
+	box := make([]byte, 0, size)
+	box = binary.BigEndian.AppendUint32(box, uint32(size))
+	box = append(box, kind...)
+	for _, part := range parts {
+		box = append(box, part...)
 	}
-	return b
+	return box
 }
 
-// full is a FullBox: version and flags before the content.
-func full(kind string, version byte, flags uint32, parts ...[]byte) []byte {
-	head := binary.BigEndian.AppendUint32(nil, uint32(version)<<24|flags)
-	return mp4(kind, append([][]byte{head}, parts...)...)
+// fullBox returns a FullBox: a Box with version and flags before the content.
+func fullBox(kind string, version byte, flags uint32, parts ...[]byte) []byte {
+	header := binary.BigEndian.AppendUint32(nil, uint32(version)<<24|flags)
+	return mp4Box(kind, append([][]byte{header}, parts...)...)
 }
 
-func u32(vs ...uint32) []byte {
-	var b []byte
-	for _, v := range vs {
-		b = binary.BigEndian.AppendUint32(b, v)
+// uint32Bytes returns the values in big-endian order.
+func uint32Bytes(values ...uint32) []byte {
+	var out []byte
+	for _, value := range values {
+		out = binary.BigEndian.AppendUint32(out, value)
 	}
-	return b
+	return out
 }
 
-func u16(vs ...uint16) []byte {
-	var b []byte
-	for _, v := range vs {
-		b = binary.BigEndian.AppendUint16(b, v)
+// uint16Bytes returns the values in big-endian order.
+func uint16Bytes(values ...uint16) []byte {
+	var out []byte
+	for _, value := range values {
+		out = binary.BigEndian.AppendUint16(out, value)
 	}
-	return b
+	return out
 }
 
-var matrix = u32(0x10000, 0, 0, 0, 0x10000, 0, 0, 0, 0x40000000)
+// unityMatrix is the transformation matrix that leaves the picture as it is, as in mvhd and tkhd.
+var unityMatrix = uint32Bytes(0x10000, 0, 0, 0, 0x10000, 0, 0, 0, 0x40000000)
 
-// initSegment is ftyp and moov with timescale 1000.
+// initSegment returns an initialization segment (ftyp and moov) with a timescale of 1000.
 func initSegment(width, height uint16) []byte {
-	seq, pic := sps(int(width), int(height)), pps()
-	avcC := mp4("avcC", []byte{1, avcProfile, avcCompat, avcLevel, 0xff, 0xe1}, u16(uint16(len(seq))), seq,
-		[]byte{1}, u16(uint16(len(pic))), pic)
-	avc1 := mp4("avc1", make([]byte, 6), u16(1), make([]byte, 16), u16(width, height),
-		u32(0x480000, 0x480000, 0), u16(1), make([]byte, 32), u16(0x18, 0xffff), avcC)
-	stbl := mp4("stbl", full("stsd", 0, 0, u32(1), avc1), full("stts", 0, 0, u32(0)), full("stsc", 0, 0, u32(0)),
-		full("stsz", 0, 0, u32(0, 0)), full("stco", 0, 0, u32(0)))
-	dinf := mp4("dinf", full("dref", 0, 0, u32(1), full("url ", 0, 1)))
-	minf := mp4("minf", full("vmhd", 0, 1, make([]byte, 8)), dinf, stbl)
-	mdia := mp4("mdia", full("mdhd", 0, 0, u32(0, 0, 1000, 0), u16(0x55c4, 0)),
-		full("hdlr", 0, 0, u32(0), []byte("vide"), make([]byte, 12), []byte("headmill\x00")), minf)
-	tkhd := full("tkhd", 0, 3, u32(0, 0, 1, 0, 0, 0, 0), u16(0, 0, 0, 0), matrix, u32(uint32(width)<<16, uint32(height)<<16))
-	mvhd := full("mvhd", 0, 0, u32(0, 0, 1000, 0, 0x10000), u16(0x100, 0), u32(0, 0), matrix, make([]byte, 24), u32(2))
-	moov := mp4("moov", mvhd, mp4("trak", tkhd, mdia), mp4("mvex", full("trex", 0, 0, u32(1, 1, 0, 0, 0))))
-	return append(mp4("ftyp", []byte("cmf2"), u32(0), []byte("isomiso6cmfcavc1")), moov...)
+	sps, pps := sequenceParameterSet(int(width), int(height)), pictureParameterSet()
+	avcC := mp4Box("avcC", []byte{1, avcProfile, avcConstraintFlags, avcLevel, 0xff, 0xe1},
+		uint16Bytes(uint16(len(sps))), sps, []byte{1}, uint16Bytes(uint16(len(pps))), pps)
+	avc1 := mp4Box("avc1", make([]byte, 6), uint16Bytes(1), make([]byte, 16), uint16Bytes(width, height),
+		uint32Bytes(0x480000, 0x480000, 0), uint16Bytes(1), make([]byte, 32), uint16Bytes(0x18, 0xffff), avcC)
+	stbl := mp4Box("stbl", fullBox("stsd", 0, 0, uint32Bytes(1), avc1), fullBox("stts", 0, 0, uint32Bytes(0)),
+		fullBox("stsc", 0, 0, uint32Bytes(0)), fullBox("stsz", 0, 0, uint32Bytes(0, 0)), fullBox("stco", 0, 0, uint32Bytes(0)))
+	dinf := mp4Box("dinf", fullBox("dref", 0, 0, uint32Bytes(1), fullBox("url ", 0, 1)))
+	minf := mp4Box("minf", fullBox("vmhd", 0, 1, make([]byte, 8)), dinf, stbl)
+	mdia := mp4Box("mdia", fullBox("mdhd", 0, 0, uint32Bytes(0, 0, 1000, 0), uint16Bytes(0x55c4, 0)),
+		fullBox("hdlr", 0, 0, uint32Bytes(0), []byte("vide"), make([]byte, 12), []byte("headmill\x00")), minf)
+	tkhd := fullBox("tkhd", 0, 3, uint32Bytes(0, 0, 1, 0, 0, 0, 0), uint16Bytes(0, 0, 0, 0), unityMatrix,
+		uint32Bytes(uint32(width)<<16, uint32(height)<<16))
+	mvhd := fullBox("mvhd", 0, 0, uint32Bytes(0, 0, 1000, 0, 0x10000), uint16Bytes(0x100, 0), uint32Bytes(0, 0),
+		unityMatrix, make([]byte, 24), uint32Bytes(2))
+	moov := mp4Box("moov", mvhd, mp4Box("trak", tkhd, mdia),
+		mp4Box("mvex", fullBox("trex", 0, 0, uint32Bytes(1, 1, 0, 0, 0))))
+	return append(mp4Box("ftyp", []byte("cmf2"), uint32Bytes(0), []byte("isomiso6cmfcavc1")), moov...)
 }
 
-// mediaSegment is styp, moof and mdat; size is the number of bytes in all, as far as its pictures are not more.
+// mediaSegment returns a media segment (styp, moof and mdat) of size bytes in total, or more if its pictures need more.
 func mediaSegment(number, beginMs, durationMs, size, width, height, rung int) []byte {
-	count := max(durationMs*cardFPS/1000, 1)
-	styp := mp4("styp", []byte("msdh"), u32(0), []byte("msdhcmfs"))
-	moof := func(dataOffset uint32, list [][]byte) []byte {
-		tfdt := full("tfdt", 1, 0, binary.BigEndian.AppendUint64(nil, uint64(beginMs)))
-		tfhd := full("tfhd", 0, 0x20028, u32(1, uint32(durationMs/count), 0x01010000)) // duration and flags of all but the first
-		run := u32(uint32(count), dataOffset, 0x02000000)
+	count := max(durationMs*framesPerSecond/1000, 1)
+	styp := mp4Box("styp", []byte("msdh"), uint32Bytes(0), []byte("msdhcmfs"))
+	moof := func(dataOffset uint32, samples [][]byte) []byte {
+		tfdt := fullBox("tfdt", 1, 0, binary.BigEndian.AppendUint64(nil, uint64(beginMs)))
+		// Duration of all samples, and flags of all but the first; trun has the flags of the first.
+		tfhd := fullBox("tfhd", 0, 0x20028, uint32Bytes(1, uint32(durationMs/count), 0x01010000))
+		trun := uint32Bytes(uint32(count), dataOffset, 0x02000000)
 		for i := range count {
-			n := 0
-			if list != nil {
-				n = len(list[i])
+			size := 0
+			if samples != nil {
+				size = len(samples[i])
 			}
-			run = append(run, u32(uint32(n))...)
+			trun = append(trun, uint32Bytes(uint32(size))...)
 		}
-		return mp4("moof", full("mfhd", 0, 0, u32(uint32(number))), mp4("traf", tfhd, tfdt, full("trun", 0, 0x205, run)))
+		return mp4Box("moof", fullBox("mfhd", 0, 0, uint32Bytes(uint32(number))),
+			mp4Box("traf", tfhd, tfdt, fullBox("trun", 0, 0x205, trun)))
 	}
-	head := len(moof(0, nil))
-	list := samples(width, height, rung, number, count, size-len(styp)-head-8)
-	b := append(styp, moof(uint32(head+8), list)...)
-	return append(b, mp4("mdat", list...)...)
+	moofSize := len(moof(0, nil))
+	samples := segmentSamples(width, height, rung, number, count, size-len(styp)-moofSize-8)
+	segment := append(styp, moof(uint32(moofSize+8), samples)...)
+	return append(segment, mp4Box("mdat", samples...)...)
 }
--- /dev/null
+++ b/internal/standin/relay/relay_test.go
@@ -0,0 +1,191 @@
+package relay
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// upper is a server that answers each byte with the same byte and one more.
+func startEchoServer(t *testing.T) string {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer conn.Close()
+				buffer := make([]byte, 64)
+				for {
+					n, err := conn.Read(buffer)
+					if err != nil {
+						return
+					}
+					for _, octet := range buffer[:n] {
+						conn.Write([]byte{octet, '+'})
+					}
+				}
+			}()
+		}
+	}()
+	return listener.Addr().String()
+}
+
+func startRelay(t *testing.T) (*Relay, *Log) {
+	log := NewLog()
+	relay, err := New(log, "t", startEchoServer(t), false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(relay.Close)
+	return relay, log
+}
+
+func dialRelay(t *testing.T, relay *Relay) net.Conn {
+	conn, err := net.Dial("tcp4", relay.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	return conn
+}
+
+func recordedData(log *Log, kind Kind) (data string) {
+	for _, record := range log.Records() {
+		if record.Kind == kind {
+			data += string(record.Data)
+		}
+	}
+	return data
+}
+
+func waitFor(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		if condition() {
+			return
+		}
+	}
+	t.Fatal("not seen: " + what)
+}
+
+func countRecords(log *Log, kind Kind) int {
+	n := 0
+	for _, record := range log.Records() {
+		if record.Kind == kind {
+			n++
+		}
+	}
+	return n
+}
+
+func TestRecordsWhatPasses(t *testing.T) {
+	relay, log := startRelay(t)
+	conn := dialRelay(t, relay)
+	conn.Write([]byte("ab"))
+	answer := make([]byte, 4)
+	if _, err := io.ReadFull(conn, answer); err != nil || string(answer) != "a+b+" {
+		t.Fatalf("%q %v", answer, err)
+	}
+	conn.Close()
+	waitFor(t, "both ends", func() bool { return countRecords(log, ForthEnd) == 1 && countRecords(log, BackEnd) == 1 })
+	if recordedData(log, Forth) != "ab" || recordedData(log, Back) != "a+b+" {
+		t.Fatalf("forth %q back %q", recordedData(log, Forth), recordedData(log, Back))
+	}
+	last := 0.0
+	for _, record := range log.Records() {
+		if record.AtMs < last {
+			t.Fatal("records out of order")
+		}
+		last = record.AtMs
+	}
+}
+
+func TestStallHoldsDataUntilLifted(t *testing.T) {
+	relay, log := startRelay(t)
+	conn := dialRelay(t, relay)
+	relay.SetFaults(Faults{StallAnswers: true})
+	conn.Write([]byte("a"))
+	waitFor(t, "the request passes", func() bool { return recordedData(log, Forth) == "a" })
+	conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+	if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil {
+		t.Fatal("an answer passed the stall")
+	}
+	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	relay.SetFaults(Faults{})
+	answer := make([]byte, 2)
+	if _, err := io.ReadFull(conn, answer); err != nil || string(answer) != "a+" {
+		t.Fatalf("after the stall: %q %v", answer, err)
+	}
+	// A side that ends during a stall is seen when it does.
+	relay.SetFaults(Faults{Stall: true})
+	conn.Write([]byte("b"))
+	conn.Close()
+	waitFor(t, "the end within the stall", func() bool { return countRecords(log, ForthEnd) == 1 })
+}
+
+func TestResetAfterBytes(t *testing.T) {
+	for name, faults := range map[string]Faults{"request": {ResetAfterRequestBytes: 2}, "answer": {ResetAfterAnswerBytes: 3}} {
+		relay, log := startRelay(t)
+		relay.SetFaults(faults)
+		conn := dialRelay(t, relay)
+		conn.Write([]byte("abcd"))
+		answer, err := io.ReadAll(conn)
+		if err == nil && len(answer) == 8 {
+			t.Errorf("%s: not cut", name)
+		}
+		if faults.ResetAfterAnswerBytes > 0 && recordedData(log, Back) != "a+b" {
+			t.Errorf("%s: %q was handed on, want three bytes", name, recordedData(log, Back))
+		}
+	}
+}
+
+func TestRefuseAndReset(t *testing.T) {
+	relay, _ := startRelay(t)
+	conn := dialRelay(t, relay)
+	conn.Write([]byte("a"))
+	io.ReadFull(conn, make([]byte, 2))
+	if err := relay.Refuse(true); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := conn.Read(make([]byte, 1)); err == nil {
+		t.Error("a connection outlives the refusal")
+	}
+	if _, err := net.Dial("tcp4", relay.Addr()); err == nil {
+		t.Error("connections are still taken")
+	}
+	if err := relay.Refuse(false); err != nil {
+		t.Fatal(err)
+	}
+	conn = dialRelay(t, relay)
+	conn.Write([]byte("a"))
+	if _, err := io.ReadFull(conn, make([]byte, 2)); err != nil {
+		t.Errorf("after the refusal: %v", err)
+	}
+	relay.Reset()
+	if _, err := conn.Read(make([]byte, 1)); err == nil {
+		t.Error("not reset")
+	}
+}
+
+func TestDelay(t *testing.T) {
+	relay, _ := startRelay(t)
+	relay.SetFaults(Faults{DelayMs: 60})
+	conn := dialRelay(t, relay)
+	startedAt := time.Now()
+	conn.Write([]byte("a"))
+	if _, err := io.ReadFull(conn, make([]byte, 2)); err != nil {
+		t.Fatal(err)
+	}
+	if took := time.Since(startedAt); took < 120*time.Millisecond {
+		t.Errorf("took %v with 60 ms each way", took)
+	}
+}
--- /dev/null
+++ b/internal/standin/scenario/run.go
@@ -0,0 +1,429 @@
+package scenario
+
+import (
+	"bufio"
+	"cmp"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/golang-jwt/jwt/v5"
+
+	"headmill/internal/audit"
+	"headmill/internal/bench"
+	"headmill/internal/config"
+	"headmill/internal/standin/cluster"
+	"headmill/internal/standin/medianode"
+	"headmill/internal/standin/player"
+	"headmill/internal/standin/relay"
+	"headmill/internal/token"
+)
+
+// Run is one rehearsal.
+type Run struct {
+	Script *Script
+	Exe    string
+	Dir    string
+	Edit   func(*cluster.Spec) // changes the fleet before it starts
+	Say    func(format string, args ...any)
+
+	fleet         *cluster.Cluster
+	mu            sync.Mutex
+	nodeFaults    []medianode.Faults
+	restarting    map[int]bool // boxes that a process trouble has in hand
+	rateFactor    float64
+	ctx           context.Context
+	client        *http.Client
+	viewerRand    *rand.Rand // of the day's viewers
+	floodRand     *rand.Rand // of a flood's
+	viewerCount   atomic.Int64
+	activeViewers sync.WaitGroup
+	StartedAt     time.Time
+	Stats         player.Stats
+	CPU           []float64 // ms that each director used, as far as it lived to the end
+}
+
+// Play runs the script to its end and returns the auditor's report.
+func (r *Run) Play() (*audit.Report, error) {
+	script := r.Script
+	spec := cluster.Small(script.Directors, script.Boxes, script.Titles, script.LifeS*1000)
+	spec.Exe, spec.Dir, spec.Relays = r.Exe, r.Dir, true
+	spec.Base.Attempts.MaxRetryAfterMs = script.MaxRetryAfterS * 1000
+	spec.Base.Admission.PassAll = script.Gate == "off"
+	spec.Base.Tenants = []config.Tenant{{Name: tenants[0], Share: 0.7}, {Name: tenants[1], Share: 0.3}}
+	if script.CapacityFactor > 0 {
+		fleet, node := &spec.Base.Fleet, &spec.Box
+		fleet.TotalLinkKB, fleet.UplinkKB, node.LinkKB, node.UplinkKB = fleet.TotalLinkKB*script.CapacityFactor, fleet.UplinkKB*script.CapacityFactor, node.LinkKB*script.CapacityFactor, node.UplinkKB*script.CapacityFactor
+		node.Places = int(math.Round(float64(node.Places) * script.CapacityFactor))
+		fleet.StreamsByKind = []int{node.Places}
+	}
+	if err := errors.Join(applyOverrides(&spec.Base, script.DirectorSettings), applyOverrides(&spec.Box, script.NodeSettings)); err != nil {
+		return nil, err
+	}
+	if r.Edit != nil {
+		r.Edit(&spec)
+	}
+	fleet, err := cluster.New(spec)
+	if err != nil {
+		return nil, err
+	}
+	defer fleet.Close()
+	if err := fleet.Start(); err != nil {
+		return nil, err
+	}
+	r.fleet, r.nodeFaults, r.restarting, r.rateFactor = fleet, make([]medianode.Faults, script.Boxes), map[int]bool{}, 1
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	startedAt := time.Now()
+	r.StartedAt = startedAt
+	var wg sync.WaitGroup
+	targetRand := rand.New(rand.NewPCG(script.Seed, 11))
+	for _, trouble := range script.Troubles {
+		targets := r.pickTargets(trouble, targetRand)
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			time.Sleep(time.Until(startedAt.Add(secondsDuration(trouble.AtS))))
+			r.printf("%5.1f s  %s on %s for %.0f s", time.Since(startedAt).Seconds(), trouble.Name, targetNames(trouble, targets), trouble.LenS)
+			r.playTrouble(trouble, targets)
+		}()
+	}
+	r.ctx, r.client = ctx, player.NewClient()
+	r.floodRand, r.viewerRand = rand.New(rand.NewPCG(script.Seed, 17)), rand.New(rand.NewPCG(script.Seed, 13))
+	r.generateViewers(startedAt)
+	wg.Wait()
+	r.printf("%5.1f s  no more viewers; waiting for those who watch", time.Since(startedAt).Seconds())
+	r.activeViewers.Wait()
+	for _, director := range fleet.Directors {
+		if director.Proc.Alive() {
+			r.CPU = append(r.CPU, bench.CPUMs(director.Proc.Pid()))
+		}
+	}
+	time.Sleep(300 * time.Millisecond) // the last notes
+	return audit.Judge(fleet.Log.Records(), AuditTerms(fleet)), nil
+}
+
+func (r *Run) printf(format string, args ...any) {
+	if r.Say != nil {
+		r.Say(format, args...)
+	}
+}
+
+func secondsDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+func targetNames(trouble Trouble, targets []int) string {
+	if trouble.Name == "burst" || trouble.Name == "retry_flood" {
+		return "viewers"
+	}
+	prefix := "b"
+	if affectsDirectors[trouble.Name] {
+		prefix = "d"
+	}
+	var out []string
+	for _, i := range targets {
+		out = append(out, prefix+strconv.Itoa(i))
+	}
+	return strings.Join(out, ",")
+}
+
+// victims draws whom a trouble falls on; the same seed draws the same.
+func (r *Run) pickTargets(trouble Trouble, rng *rand.Rand) []int {
+	candidates := r.Script.Boxes
+	if affectsDirectors[trouble.Name] {
+		candidates = r.Script.Directors
+	}
+	perm := rng.Perm(candidates)
+	if len(trouble.Targets) > 0 {
+		return trouble.Targets
+	}
+	if trouble.Name == "report_late" && trouble.Fraction == 0 {
+		return perm
+	}
+	count := max(int(math.Round(trouble.Fraction*float64(candidates))), 1)
+	targets := perm[:count]
+	slices.Sort(targets)
+	return targets
+}
+
+// set changes one box's faults.
+func (r *Run) changeNodeFaults(index int, change func(*medianode.Faults)) {
+	r.mu.Lock()
+	change(&r.nodeFaults[index])
+	faults := r.nodeFaults[index]
+	r.mu.Unlock()
+	if err := r.fleet.SetFaults(r.fleet.Boxes[index], faults); err != nil {
+		r.printf("b%d: fault not set: %v", index, err)
+	}
+}
+
+// take claims a box for a trouble of its process; false where another has it.
+func (r *Run) claimNode(index int, claim bool) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if claim && r.restarting[index] {
+		return false
+	}
+	r.restarting[index] = claim
+	return true
+}
+
+func (r *Run) playTrouble(trouble Trouble, targets []int) {
+	wait := func() { time.Sleep(secondsDuration(trouble.LenS)) }
+	apply := func(begin, end func(f *medianode.Faults)) {
+		for _, i := range targets {
+			r.changeNodeFaults(i, begin)
+		}
+		wait()
+		for _, i := range targets {
+			r.changeNodeFaults(i, end)
+		}
+	}
+	switch trouble.Name {
+	case "slow":
+		apply(func(f *medianode.Faults) { f.Slow = trouble.Magnitude }, func(f *medianode.Faults) { f.Slow = 0 })
+	case "origin_slow": // the uplinks of the racks in which the drawn boxes stand
+		racks := map[int]bool{}
+		for _, i := range targets {
+			racks[r.fleet.Boxes[i].Box.Rack] = true
+		}
+		targets = targets[:0:0]
+		for i, node := range r.fleet.Boxes {
+			if racks[node.Box.Rack] {
+				targets = append(targets, i)
+			}
+		}
+		apply(func(f *medianode.Faults) { f.UplinkSlowdown = trouble.Magnitude }, func(f *medianode.Faults) { f.UplinkSlowdown = 0 })
+	case "fast_errors":
+		apply(func(f *medianode.Faults) { f.ErrorFraction = trouble.Magnitude }, func(f *medianode.Faults) { f.ErrorFraction = 0 })
+	case "hang":
+		apply(func(f *medianode.Faults) { f.Hang = true }, func(f *medianode.Faults) { f.Hang = false })
+	case "answer_lost":
+		apply(func(f *medianode.Faults) { f.Lost = true }, func(f *medianode.Faults) { f.Lost = false })
+	case "report_late":
+		apply(func(f *medianode.Faults) { f.EventDelayMs = trouble.Magnitude * 1000 }, func(f *medianode.Faults) { f.EventDelayMs = 0 })
+	case "burst":
+		r.setRateFactor(trouble.Magnitude)
+		wait()
+		r.setRateFactor(1)
+	case "retry_flood": // of the second brand; its viewers come again every 100 ms whatever they are told
+		end := time.Now().Add(secondsDuration(trouble.LenS))
+		for at := time.Now(); at.Before(end); at = at.Add(time.Duration(float64(time.Second) / trouble.Magnitude)) {
+			time.Sleep(time.Until(at))
+			r.startViewer(r.floodRand, func(request *player.Request) { request.IgnoreRetryAfter = true }, 1)
+		}
+	case "drain":
+		for _, i := range targets {
+			r.fleet.Discovery.Drain(r.fleet.Boxes[i].Box.PublicAddr, true)
+		}
+		wait()
+		for _, i := range targets {
+			r.fleet.Discovery.Drain(r.fleet.Boxes[i].Box.PublicAddr, false)
+		}
+	case "crash", "cold_start", "vanish":
+		var wg sync.WaitGroup
+		for _, i := range targets {
+			if !r.claimNode(i, true) {
+				continue
+			}
+			wg.Add(1)
+			go func() {
+				defer wg.Done()
+				defer r.claimNode(i, false)
+				r.restartNode(trouble, r.fleet.Boxes[i])
+				r.changeNodeFaults(i, func(f *medianode.Faults) { *f = medianode.Faults{} })
+			}()
+		}
+		wg.Wait()
+	case "balancer_crash":
+		for _, i := range targets {
+			director := r.fleet.Directors[i]
+			r.fleet.Log.Mark(director.Name, "killed")
+			director.Proc.Kill()
+			director.Relay.Refuse(true)
+			director.DiscoveryRelay.Reset()
+		}
+		wait()
+		for _, i := range targets {
+			director := r.fleet.Directors[i]
+			if err := r.fleet.StartDirector(director, false); err != nil {
+				r.printf("%s: %v", director.Name, err)
+				continue
+			}
+			r.fleet.Log.Mark(director.Name, "started")
+			director.Relay.Refuse(false)
+		}
+	}
+}
+
+// restartBox takes a box down and starts it again cold. One that vanishes is stopped without a word, and its
+// machine does not even reset what stands.
+func (r *Run) restartNode(trouble Trouble, node *cluster.Member) {
+	if trouble.Name == "vanish" {
+		r.fleet.Log.Mark(node.Name, "vanished")
+		node.Relay.SetFaults(relay.Faults{Stall: true})
+		node.Proc.Kill()
+		time.Sleep(secondsDuration(trouble.LenS))
+		node.Relay.Refuse(true)
+		node.Relay.SetFaults(relay.Faults{})
+	} else {
+		r.fleet.Log.Mark(node.Name, "killed")
+		node.Proc.Kill()
+		node.Relay.Refuse(true)
+		time.Sleep(secondsDuration(trouble.LenS))
+	}
+	if err := r.fleet.StartBox(node, true); err != nil {
+		r.printf("%s: %v", node.Name, err)
+		return
+	}
+	r.fleet.Log.Mark(node.Name, "started")
+	proc := node.Proc
+	go func() {
+		for proc.Alive() {
+			time.Sleep(20 * time.Millisecond)
+		}
+		if strings.Contains(fmt.Sprint(proc.Err), "exit status 9") {
+			r.fleet.Log.Mark(node.Name, "fell")
+		}
+	}()
+}
+
+func (r *Run) setRateFactor(factor float64) {
+	r.mu.Lock()
+	r.rateFactor = factor
+	r.mu.Unlock()
+}
+
+var tenants = [2]string{"hanbit-mobile", "dasol-talk"}
+
+// viewers draws viewers until the script's end and lets them live on.
+func (r *Run) generateViewers(startedAt time.Time) {
+	at := 0.0
+	for {
+		r.mu.Lock()
+		rate := r.Script.Rate * r.rateFactor
+		r.mu.Unlock()
+		at += r.viewerRand.ExpFloat64() / rate
+		if at >= r.Script.Seconds {
+			return
+		}
+		time.Sleep(time.Until(startedAt.Add(secondsDuration(at))))
+		tenant := 0
+		if r.viewerRand.Float64() < 0.3 {
+			tenant = 1
+		}
+		if s := r.Script.OnlyTenant; s == "" || s == tenants[tenant] {
+			r.startViewer(r.viewerRand, nil, tenant)
+		}
+	}
+}
+
+// viewer draws one viewer of a brand and lets it live.
+func (r *Run) startViewer(rng *rand.Rand, edit func(*player.Request), tenant int) {
+	script, fleet := r.Script, r.fleet
+	titles := fleet.Spec.Base.Titles
+	title := &titles[int(float64(len(titles))*math.Pow(rng.Float64(), 1.5))] // some are wanted far more than others
+	class := &fleet.Spec.Base.Classes[fleet.Spec.Base.ClassIndex(title.Class)]
+	viewer, maxRung := fmt.Sprintf("v%d", r.viewerCount.Add(1)), len(fleet.Spec.Base.Ladder.RateKB)-1
+	if rng.Float64() < 0.2 {
+		maxRung--
+	}
+	attempts := 0
+	request := player.Request{Title: title.Name, Class: title.Class, AtMostOnce: class.Semantics == "once", GiveUp: time.Duration(class.GiveUpMs) * time.Millisecond,
+		WatchTime: time.Duration(title.DurationMs) * time.Millisecond, Seed: rng.Uint64(), Duplicate: rng.Float64() < script.DuplicateFraction,
+		UseSessionAPI: rng.Float64() < script.SessionAPIFraction,
+		Token: func() string {
+			attempts++
+			now := time.Now()
+			signed, err := fleet.Key.Mint(token.Claims{Title: title.Name, Class: title.Class, Tenant: tenants[tenant], MaxRung: maxRung,
+				RegisteredClaims: jwt.RegisteredClaims{Subject: viewer, ID: fmt.Sprintf("%s-%d", viewer, attempts),
+					IssuedAt: jwt.NewNumericDate(now), ExpiresAt: jwt.NewNumericDate(now.Add(10 * time.Minute))}})
+			if err != nil {
+				panic(err)
+			}
+			return signed
+		},
+		Director: func(rng *rand.Rand) string { return fleet.Directors[rng.IntN(len(fleet.Directors))].URL }}
+	if edit != nil {
+		edit(&request)
+	}
+	r.activeViewers.Add(1)
+	go func() {
+		defer r.activeViewers.Done()
+		player.Watch(r.ctx, r.client, request, &r.Stats)
+	}()
+}
+
+// Found is one line of a director's log on quality.
+type Finding struct {
+	Director, Group, Name string
+	Over                  bool
+	Load                  float64
+	At                    float64 // s since the day began
+}
+
+// Findings reads what the directors' logs say of quality.
+func (r *Run) Findings() (out []Finding, err error) {
+	for _, director := range r.fleet.Directors {
+		file, err := os.Open(filepath.Join(r.Dir, director.Name+".log"))
+		if err != nil {
+			return nil, err
+		}
+		defer file.Close()
+		scanner := bufio.NewScanner(file)
+		for scanner.Buffer(nil, 1<<20); scanner.Scan(); {
+			var line struct {
+				Time        time.Time
+				Msg         string
+				Group, Name string
+				Over        bool
+				Load        float64
+			}
+			if json.Unmarshal(scanner.Bytes(), &line) == nil && strings.HasPrefix(line.Msg, "quality: ") {
+				out = append(out, Finding{director.Name, line.Group, line.Name, line.Over, line.Load, line.Time.Sub(r.StartedAt).Seconds()})
+			}
+		}
+	}
+	slices.SortStableFunc(out, func(a, b Finding) int { return cmp.Compare(a.At, b.At) })
+	return out, nil
+}
+
+// RackOf is the rack in which the box of an address stands; -1 for no box.
+func (r *Run) RackOf(addr string) int {
+	for _, node := range r.fleet.Boxes {
+		if node.Box.PublicAddr == addr {
+			return node.Box.Rack
+		}
+	}
+	return -1
+}
+
+// Terms is what the auditor is told of the fleet: the terms of service, not what any director thinks.
+func AuditTerms(fleet *cluster.Cluster) audit.Terms {
+	settings, node := &fleet.Spec.Base, &fleet.Spec.Box
+	terms := audit.Terms{Classes: map[string]audit.Class{}, Titles: map[string]audit.Title{}, Boxes: map[string]string{},
+		Worth: settings.Ladder.Worth, SlackMs: 40, GraceMs: 250, Places: float64(node.Places), WarmMs: node.WarmUpMs,
+		ColdFrom: node.ColdRateFraction, Factor: node.OverloadFactor, TipMs: node.OverloadWindowMs, Shortfall: 6}
+	for _, class := range settings.Classes {
+		terms.Classes[class.Name] = audit.Class{AtMostOnce: class.Semantics == "once", TargetMs: class.TargetMs, GiveUpMs: class.GiveUpMs, Value: class.Value,
+			Floor: class.MinRung, Seats: class.MaxPerTitle}
+	}
+	for _, title := range settings.Titles {
+		terms.Titles[title.Name] = audit.Title{Class: title.Class, DurationMs: title.DurationMs}
+	}
+	for _, node := range fleet.Boxes {
+		terms.Boxes[node.Box.PublicAddr] = node.Name
+	}
+	return terms
+}
--- a/internal/standin/scenario/script.go
+++ b/internal/standin/scenario/script.go
@@ -15,32 +15,32 @@
 
 // Script is a bad day. Troubles bear the names and columns under which operators record them.
 type Script struct {
-	Seconds   float64        `toml:"seconds"`
-	Rate      float64        `toml:"rate"` // new viewers a second
-	Directors int            `toml:"directors"`
-	Boxes     int            `toml:"boxes"`
-	Titles    int            `toml:"titles"`
-	LifeS     float64        `toml:"life_s"`
-	Seed      uint64         `toml:"seed"`
-	Double    float64        `toml:"double"`   // share of viewers that ask twice at the same moment
-	Socket    float64        `toml:"socket"`   // share of viewers that come over the session API
-	AdviceS   float64        `toml:"advice_s"` // the longest advice that a refusal may give
-	Gate      string         `toml:"gate"`     // "off": the limits pass all, for comparison
-	Room      float64        `toml:"room"`     // part of their links, uplinks and places that the boxes have; 0: all
-	Only      string         `toml:"only"`     // viewers of other brands stay away
-	Settings  map[string]any `toml:"settings"` // over the directors' own, in their form
-	Box       map[string]any `toml:"box"`      // over what all boxes share (box.Config)
-	Troubles  []Trouble      `toml:"trouble"`
+	Seconds            float64        `toml:"seconds"`
+	Rate               float64        `toml:"rate"` // new viewers a second
+	Directors          int            `toml:"directors"`
+	Boxes              int            `toml:"boxes"`
+	Titles             int            `toml:"titles"`
+	LifeS              float64        `toml:"life_s"`
+	Seed               uint64         `toml:"seed"`
+	DuplicateFraction  float64        `toml:"double"`   // share of viewers that ask twice at the same moment
+	SessionAPIFraction float64        `toml:"socket"`   // share of viewers that come over the session API
+	MaxRetryAfterS     float64        `toml:"advice_s"` // the longest advice that a refusal may give
+	Gate               string         `toml:"gate"`     // "off": the limits pass all, for comparison
+	CapacityFactor     float64        `toml:"room"`     // part of their links, uplinks and places that the boxes have; 0: all
+	OnlyTenant         string         `toml:"only"`     // viewers of other brands stay away
+	DirectorSettings   map[string]any `toml:"settings"` // over the directors' own, in their form
+	NodeSettings       map[string]any `toml:"box"`      // over what all boxes share (box.Config)
+	Troubles           []Trouble      `toml:"trouble"`
 }
 
 // overlay puts a table of the script over what stands in v.
-func overlay(v any, table map[string]any) error {
+func applyOverrides(target any, table map[string]any) error {
 	if len(table) == 0 {
 		return nil
 	}
 	text, err := toml.Marshal(table)
 	if err == nil {
-		err = toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
+		err = toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(target)
 	}
 	if err != nil {
 		return fmt.Errorf("script: settings or box: %w", err)
@@ -50,23 +50,23 @@
 
 // Trouble is one thing that goes wrong.
 type Trouble struct {
-	Name  string  `toml:"name"`
-	AtS   float64 `toml:"at_s"`
-	LenS  float64 `toml:"len_s"`
-	Part  float64 `toml:"part"` // share of boxes or directors; at least one
-	Size  float64 `toml:"size"`
-	Extra float64 `toml:"extra"`
-	On    []int   `toml:"on"` // these, in place of a draw
+	Name      string  `toml:"name"`
+	AtS       float64 `toml:"at_s"`
+	LenS      float64 `toml:"len_s"`
+	Fraction  float64 `toml:"part"` // share of boxes or directors; at least one
+	Magnitude float64 `toml:"size"`
+	Extra     float64 `toml:"extra"`
+	Targets   []int   `toml:"on"` // these, in place of a draw
 }
 
 // played are the troubles that this version can play, and whether they fall on directors.
-var played = map[string]bool{"crash": false, "vanish": false, "hang": false, "fast_errors": false, "slow": false,
+var affectsDirectors = map[string]bool{"crash": false, "vanish": false, "hang": false, "fast_errors": false, "slow": false,
 	"answer_lost": false, "report_late": false, "burst": false, "balancer_crash": true, "drain": false,
 	"cold_start": false, "retry_flood": false,
 	"origin_slow": false}
 
 // later are recorded troubles that the form holds and this version does not play yet.
-var later = []string{"neighbour", "hot_key", "zone_cut", "balancer_roll", "report_gap", "shared_slow"}
+var unsupportedTroubles = []string{"neighbour", "hot_key", "zone_cut", "balancer_roll", "report_gap", "shared_slow"}
 
 // BuiltIn is the day that rehearse plays without a script.
 const BuiltIn = `# A bad day of half a minute: every trouble that this version plays, some of them together.
@@ -152,53 +152,53 @@
 
 // Parse reads a script; what it leaves out is as in the built-in day, but for the troubles.
 func Parse(text string) (*Script, error) {
-	s := Script{Seconds: 30, Rate: 30, Directors: 2, Boxes: 8, Titles: 9, LifeS: 9, Seed: 1, AdviceS: 1}
-	dec := toml.NewDecoder(bytes.NewReader([]byte(text))).DisallowUnknownFields()
-	if err := dec.Decode(&s); err != nil {
-		var strict *toml.StrictMissingError
-		var de *toml.DecodeError
+	script := Script{Seconds: 30, Rate: 30, Directors: 2, Boxes: 8, Titles: 9, LifeS: 9, Seed: 1, MaxRetryAfterS: 1}
+	decoder := toml.NewDecoder(bytes.NewReader([]byte(text))).DisallowUnknownFields()
+	if err := decoder.Decode(&script); err != nil {
+		var unknownKeys *toml.StrictMissingError
+		var syntaxErr *toml.DecodeError
 		switch {
-		case errors.As(err, &strict):
-			return nil, fmt.Errorf("script: unknown keys:\n%s", strict.String())
-		case errors.As(err, &de):
-			row, _ := de.Position()
-			return nil, fmt.Errorf("script: line %d: %s", row, de.Error())
+		case errors.As(err, &unknownKeys):
+			return nil, fmt.Errorf("script: unknown keys:\n%s", unknownKeys.String())
+		case errors.As(err, &syntaxErr):
+			row, _ := syntaxErr.Position()
+			return nil, fmt.Errorf("script: line %d: %s", row, syntaxErr.Error())
 		}
 		return nil, fmt.Errorf("script: %w", err)
 	}
-	if s.Seconds <= 0 || s.Rate <= 0 || s.Directors < 1 || s.Boxes < 3 || s.Titles < 1 || s.LifeS <= 0 {
+	if script.Seconds <= 0 || script.Rate <= 0 || script.Directors < 1 || script.Boxes < 3 || script.Titles < 1 || script.LifeS <= 0 {
 		return nil, errors.New("script: seconds, rate, titles, life_s must be positive, directors 1 and boxes 3 at least")
 	}
-	for i, t := range s.Troubles {
-		if _, ok := played[t.Name]; !ok {
-			if slices.Contains(later, t.Name) {
-				return nil, fmt.Errorf("script: trouble %d: %q is known and not played by this version", i+1, t.Name)
+	for i, trouble := range script.Troubles {
+		if _, ok := affectsDirectors[trouble.Name]; !ok {
+			if slices.Contains(unsupportedTroubles, trouble.Name) {
+				return nil, fmt.Errorf("script: trouble %d: %q is known and not played by this version", i+1, trouble.Name)
 			}
-			return nil, fmt.Errorf("script: trouble %d: no trouble is called %q", i+1, t.Name)
+			return nil, fmt.Errorf("script: trouble %d: no trouble is called %q", i+1, trouble.Name)
 		}
-		if t.AtS < 0 || t.LenS <= 0 || t.Part < 0 || t.Part > 1 {
-			return nil, fmt.Errorf("script: trouble %d (%s): at_s 0 or more, len_s over 0, part 0 to 1", i+1, t.Name)
+		if trouble.AtS < 0 || trouble.LenS <= 0 || trouble.Fraction < 0 || trouble.Fraction > 1 {
+			return nil, fmt.Errorf("script: trouble %d (%s): at_s 0 or more, len_s over 0, part 0 to 1", i+1, trouble.Name)
 		}
-		if slices.Contains([]string{"slow", "fast_errors", "report_late", "burst", "retry_flood", "origin_slow"}, t.Name) && t.Size <= 0 {
-			return nil, fmt.Errorf("script: trouble %d (%s) needs a size", i+1, t.Name)
+		if slices.Contains([]string{"slow", "fast_errors", "report_late", "burst", "retry_flood", "origin_slow"}, trouble.Name) && trouble.Magnitude <= 0 {
+			return nil, fmt.Errorf("script: trouble %d (%s) needs a size", i+1, trouble.Name)
 		}
-		most := s.Boxes
-		if played[t.Name] {
-			most = s.Directors
+		limit := script.Boxes
+		if affectsDirectors[trouble.Name] {
+			limit = script.Directors
 		}
-		for _, n := range t.On {
-			if n < 0 || n >= most {
-				return nil, fmt.Errorf("script: trouble %d (%s): on has %d, there are %d", i+1, t.Name, n, most)
+		for _, target := range trouble.Targets {
+			if target < 0 || target >= limit {
+				return nil, fmt.Errorf("script: trouble %d (%s): on has %d, there are %d", i+1, trouble.Name, target, limit)
 			}
 		}
 	}
-	return &s, nil
+	return &script, nil
 }
 
 func (s *Script) String() string {
 	var names []string
-	for _, t := range s.Troubles {
-		names = append(names, t.Name)
+	for _, trouble := range s.Troubles {
+		names = append(names, trouble.Name)
 	}
 	return fmt.Sprintf("%.0f s, %.0f viewers/s, %d directors, %d boxes, seed %d: %s", s.Seconds, s.Rate, s.Directors,
 		s.Boxes, s.Seed, strings.Join(names, ", "))
