--- a/internal/standin/balancer/balancer.go
+++ b/internal/standin/balancer/balancer.go
@@ -1,6 +1,6 @@
-// Package balancer is a stand-in of a TCP load balancer with agent checks: it
-// asks each server's agent at an interval and sends new connections to those
-// that are up, by weight.
+// Package balancer is a stand-in (test double) of a TCP load balancer with
+// agent checks: it queries each server's agent at an interval and distributes
+// new connections over the servers that are up, by weight.
 package balancer
 
 import (
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// Server is one director behind the balancer.
+// Server is a director behind the balancer.
 type Server struct {
-	Addr, Agent string
-	Weight      int  // as last told
-	Up          bool // new connections may go there
-	credit      int
+	Addr, Agent string // addresses of the director and of its agent
+	Weight      int    // as last reported by the agent
+	Up          bool   // new connections may be sent there
+	credit      int    // for the weighted round robin
 }
 
-// Balancer is a running stand-in.
+// Balancer is a running stand-in of a load balancer.
 type Balancer struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -30,7 +30,7 @@
 	stop     chan struct{}
 }
 
-// Start listens and checks each agent at the interval.
+// Start listens on a free port and checks each agent at the interval.
 func Start(interval time.Duration, servers ...*Server) (*Balancer, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -64,23 +64,24 @@
 	return balancer, nil
 }
 
-// Addr is where it listens.
+// Addr returns the listen address.
 func (b *Balancer) Addr() string { return b.listener.Addr().String() }
 
-// Close ends it.
+// Close stops the balancer; open connections stay.
 func (b *Balancer) Close() {
 	close(b.stop)
 	b.listener.Close()
 }
 
-// Look returns what is known of a server.
+// Look returns the present state of a server.
 func (b *Balancer) Look(i int) Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return *b.servers[i]
 }
 
-// check reads an agent's line: words separated by blanks, of which a percentage is the weight.
+// checkAgent reads an agent's line: words separated by blanks, up to a "#". A percentage is the weight; the
+// server is up if one of the words is "up" or "ready". It is down if its agent cannot be reached.
 func (b *Balancer) checkAgent(server *Server) {
 	up, weight := false, server.Weight
 	if conn, err := net.DialTimeout("tcp4", server.Agent, time.Second); err == nil {
@@ -101,7 +102,7 @@
 	b.mu.Unlock()
 }
 
-// pick is weighted round robin over what is up.
+// pick selects a server that is up by weighted round robin; it returns "" if there is none.
 func (b *Balancer) pick() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -124,6 +125,7 @@
 	return best.Addr
 }
 
+// forward relays a connection to a server.
 func (b *Balancer) forward(client net.Conn) {
 	defer client.Close()
 	addr := b.pick()
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -1,7 +1,16 @@
-// Package lister is a stand-in of the box list's service: boxes report that
-// they run, directors follow one stream each and hear of changes late, as the
-// real service tells them. It also adds up what the boxes of a rack ask of
-// their uplink, in the place of the network itself.
+// Package discovery is a stand-in (test double) of the discovery service. Media
+// nodes send heartbeats (POST /beat); each director follows the node list on
+// one event stream (GET /list): first the full list, then changes, delayed as
+// the real service delays them. It also simulates a part of the network: the
+// answer to a heartbeat carries the rate that all nodes of the rack together
+// request from their uplink.
+//
+// The states of a node:
+//
+//	state     meaning           left when
+//	ready     heartbeats come   it is marked as draining; heartbeats stop
+//	draining  marked by Drain   the mark is taken back; heartbeats stop
+//	gone      heartbeats ended  a heartbeat comes again
 package discovery
 
 import (
@@ -15,14 +24,15 @@
 	"time"
 )
 
-// Config has the service's lateness, in ms.
+// Config holds the listen address and the service's delays.
 type Config struct {
 	Addr         string
-	StateDelayMs float64 // a change of state is told so late
-	StartDelayMs float64 // a start is told so late
-	SilentMs     float64 // a box not heard of for so long is gone
+	StateDelayMs float64 // delay until directors learn of a change of state
+	StartDelayMs float64 // delay until directors learn of a node that has started
+	SilentMs     float64 // a node without a heartbeat for this long is gone
 }
 
+// heartbeat is the body of a node's POST /beat.
 type heartbeat struct {
 	Addr     string  `json:"addr"`
 	Boot     string  `json:"boot"`
@@ -35,14 +45,15 @@
 	DemandKB float64 `json:"asked_kb"`
 }
 
+// nodeRecord is what the service knows of a node.
 type nodeRecord struct {
 	heartbeat
 	lastHeartbeatAt, startedAt time.Time
 	state                      string
-	publishedState             string // state as told to directors
+	publishedState             string // state as the directors know it; empty: node not published yet
 }
 
-// Entry is a box as directors are told of it.
+// Entry is a node as directors receive it.
 type Entry struct {
 	Addr     string  `json:"addr"`
 	State    string  `json:"state"`
@@ -54,7 +65,7 @@
 	Weight   float64 `json:"weight"`
 }
 
-// Message is one message of the stream.
+// Message is one message of the event stream: the full list, or a change.
 type Message struct {
 	Epoch   string  `json:"epoch"`
 	Version uint64  `json:"version"`
@@ -62,14 +73,14 @@
 	Nodes   []Entry `json:"servers"`
 }
 
-// Service is one running stand-in.
+// Server is a running stand-in of the discovery service.
 type Server struct {
 	config      Config
 	listener    net.Listener
 	httpServer  *http.Server
 	mu          sync.Mutex
 	nodes       map[string]*nodeRecord
-	draining    map[string]bool
+	draining    map[string]bool // by address; kept while a node is gone
 	version     uint64
 	epoch       string
 	subscribers map[chan string]bool
@@ -77,14 +88,14 @@
 	closeOnce   sync.Once
 }
 
-// Start begins to serve.
+// Start listens on cfg.Addr and serves until Close.
 func Start(cfg Config) (*Server, error) {
 	listener, err := net.Listen("tcp4", cfg.Addr)
 	if err != nil {
-		return nil, fmt.Errorf("lister: %w", err)
+		return nil, fmt.Errorf("discovery stand-in: %w", err)
 	}
-	server := &Server{config: cfg, listener: listener, nodes: map[string]*nodeRecord{}, draining: map[string]bool{}, subscribers: map[chan string]bool{},
-		epoch: fmt.Sprint(time.Now().UnixNano()), stop: make(chan struct{})}
+	server := &Server{config: cfg, listener: listener, nodes: map[string]*nodeRecord{}, draining: map[string]bool{},
+		subscribers: map[chan string]bool{}, epoch: fmt.Sprint(time.Now().UnixNano()), stop: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /beat", server.handleHeartbeat)
 	mux.HandleFunc("GET /list", server.handleList)
@@ -94,16 +105,16 @@
 	return server, nil
 }
 
-// Addr is where it listens.
+// Addr returns the listen address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends it.
+// Close stops the server.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() { close(s.stop) })
 	s.httpServer.Close()
 }
 
-// Drain marks a box as draining, or takes that back.
+// Drain marks a node as draining, or takes the mark back.
 func (s *Server) Drain(addr string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +128,7 @@
 	}
 }
 
-// Ready counts the boxes that are told as ready.
+// Ready returns the number of nodes that are published as ready.
 func (s *Server) Ready() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,6 +141,7 @@
 	return ready
 }
 
+// handleHeartbeat records a heartbeat, publishes a node that has started, and answers with the demand of its rack.
 func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	var beat heartbeat
 	if err := json.NewDecoder(r.Body).Decode(&beat); err != nil {
@@ -163,7 +175,7 @@
 	json.NewEncoder(w).Encode(map[string]float64{"rack_kb": rackKB})
 }
 
-// watch finds boxes that have gone silent.
+// expireSilentNodes marks nodes without heartbeats as gone.
 func (s *Server) expireSilentNodes() {
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
@@ -184,15 +196,17 @@
 	}
 }
 
+// published returns the node as directors receive it. Only a node that started cold has an uptime.
 func (record *nodeRecord) published(now time.Time) Entry {
 	uptimeMs := 0.0
 	if record.Cold {
 		uptimeMs = now.Sub(record.startedAt).Seconds() * 1000
 	}
-	return Entry{Addr: record.Addr, State: record.publishedState, Boot: record.Boot, UptimeMs: uptimeMs, Cell: record.Cell, Kind: record.Kind, Zone: record.Zone, Weight: 1}
+	return Entry{Addr: record.Addr, State: record.publishedState, Boot: record.Boot, UptimeMs: uptimeMs,
+		Cell: record.Cell, Kind: record.Kind, Zone: record.Zone, Weight: 1}
 }
 
-// change tells a box's state to all directors after the service's lateness; called with mu held.
+// publishAfter sends a node's present state to all directors after a delay. It must be called with s.mu held.
 func (s *Server) publishAfter(record *nodeRecord, lateMs float64) {
 	state := record.state
 	time.AfterFunc(time.Duration(lateMs*float64(time.Millisecond)), func() {
@@ -204,7 +218,8 @@
 		for subscriber := range s.subscribers {
 			select {
 			case subscriber <- event:
-			default: // a director that does not read: cut, it will ask for the whole list
+			default:
+				// The director does not read: its stream is closed, and it will request the full list again.
 				delete(s.subscribers, subscriber)
 				close(subscriber)
 			}
@@ -212,11 +227,13 @@
 	})
 }
 
+// formatEvent returns the message as a server-sent event.
 func (s *Server) formatEvent(message Message) string {
 	data, _ := json.Marshal(message)
 	return "data: " + string(data) + "\n\n"
 }
 
+// handleList serves the event stream of one director.
 func (s *Server) handleList(w http.ResponseWriter, r *http.Request) {
 	events := make(chan string, 1024)
 	now := time.Now()
--- a/internal/standin/medianode/node.go
+++ b/internal/standin/medianode/node.go
@@ -45,7 +45,7 @@
 	Zone       int
 	SegmentMs  int
 	IdleMs     float64 `json:"IdleMs" toml:"IdleMs"`     // a session without a segment request for this long ends; 0: never
-	OrphanMs   float64 `json:"OrphanMs" toml:"OrphanMs"` // sessions end when their director's event stream has been disconnected for this long
+	OrphanMs   float64 `json:"OrphanMs" toml:"OrphanMs"` // sessions of a director without an event stream for this long end
 	TellMs     float64 `json:"TellMs" toml:"TellMs"`     // interval of load reports; 0: none
 	LateMs     float64 `json:"LateMs" toml:"LateMs"`     // delay of load reports
 
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -1,7 +1,8 @@
-// Package player is a stand-in of a viewer: it asks for a manifest with its
-// token, plays the segments at their pace, follows the bitrate that the box
-// suggests (CMSD, CTA-5006, key mb) and comes again as viewers do. It reads
-// manifests as a plain DASH player does.
+// Package player is a stand-in (test double) of a viewer with a DASH player. It
+// requests a manifest with its session token, plays the segments in real time,
+// follows the maximum bitrate that the media node suggests (CMSD, CTA-5006, key
+// mb) and retries as viewers do. It reads manifests as a plain DASH player
+// does, and can use the session API instead of requesting the manifest.
 package player
 
 import (
@@ -21,45 +22,54 @@
 	"headmill/internal/dash"
 )
 
-// Wish is what one viewer wants to see.
+// Request is what one viewer wants to see and how it behaves.
 type Request struct {
 	Title, Class string
-	AtMostOnce   bool
-	GiveUp       time.Duration
-	WatchTime    time.Duration // how long it wants to watch
+	AtMostOnce   bool          // the title's class allows one set-up per token: the viewer retries a failure once
+	GiveUp       time.Duration // longest wait for a manifest
+	WatchTime    time.Duration // how long the viewer wants to watch, retries included
 	Seed         uint64
-	// Token mints a token of a new wanted session of this viewer.
+	// Token mints a session token for a new session of this viewer.
 	Token func() string
-	// Director is the base URL of a director for a try.
+	// Director returns the base URL of the director for the next request.
 	Director         func(rng *rand.Rand) string
-	Duplicate        bool // it asks twice at the same moment
-	UseSessionAPI    bool // it keeps a connection to the session API
-	IgnoreRetryAfter bool // after a refusal it comes again every 100 ms, whatever it is told
+	Duplicate        bool // the first request is sent twice at the same moment
+	UseSessionAPI    bool // the viewer uses the session API and keeps the connection open
+	IgnoreRetryAfter bool // after a refusal the viewer retries after 100 ms, whatever Retry-After says
 }
 
-// Stats counts over all viewers.
+// Stats counts the events of all viewers that share it.
 type Stats struct {
-	Requests, Played, Refused, Failed, Broken, Denied, Unreachable atomic.Int64
-	Segments, Stalled                                              atomic.Int64
+	Requests    atomic.Int64 // requests for a manifest, duplicates not counted
+	Played      atomic.Int64 // answered with a manifest
+	Refused     atomic.Int64 // answered with 503
+	Failed      atomic.Int64 // answered with another 5xx, or with an invalid manifest
+	Broken      atomic.Int64 // sessions that ended before the viewer was done
+	Denied      atomic.Int64 // answered with any other status
+	Unreachable atomic.Int64 // not answered
+	Segments    atomic.Int64 // segments received
+	Stalled     atomic.Int64 // segments received later than their playing time
 }
 
-// follow is the part of viewers that keep to the advice of a refusal.
+// retryAfterCompliance is the share of refused viewers that wait for the time in Retry-After.
 const retryAfterCompliance = 0.85
 
-// Client is the HTTP client that viewers share: a connection each, as players have.
+// NewClient returns an HTTP client for all viewers. It opens a connection for each request, so that viewers share none.
 func NewClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 0, DisableKeepAlives: true,
 		DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext}}
 }
 
+// answer is a director's answer to a request for a session.
 type answer struct {
 	status     int
 	body       []byte
 	retryAfter time.Duration
-	homeURL    string // the director that answers for the token, over the session API
+	homeURL    string // base URL of the director that is responsible for the token; session API only
 	err        error
 }
 
+// fetchManifest requests a manifest and waits for the answer for a little longer than the viewer's patience.
 func fetchManifest(ctx context.Context, client *http.Client, url string, giveUp time.Duration) answer {
 	ctx, cancel := context.WithTimeout(ctx, giveUp+200*time.Millisecond)
 	defer cancel()
@@ -80,7 +90,7 @@
 	return result
 }
 
-// Watch lives through one wish.
+// Watch plays one viewer until it has watched, gives up, or ctx ends.
 func Watch(ctx context.Context, client *http.Client, request Request, stats *Stats) {
 	rng := rand.New(rand.NewPCG(request.Seed, 7))
 	end := time.Now().Add(request.WatchTime)
@@ -126,7 +136,8 @@
 				return
 			}
 			stats.Broken.Add(1)
-			token = request.Token() // what broke has run: a viewer that comes again wants a new session
+			// The broken session has run, so a retry needs a token for a new session.
+			token = request.Token()
 		case result.status == 503:
 			stats.Refused.Add(1)
 			if result.retryAfter > 0 && rng.Float64() < retryAfterCompliance {
@@ -137,7 +148,8 @@
 			}
 		case result.status >= 500:
 			stats.Failed.Add(1)
-			if failures++; request.AtMostOnce && failures > 1 { // it asks once more with the same token and then gives up
+			// A viewer of an at-most-once title retries once with the same token and then gives up.
+			if failures++; request.AtMostOnce && failures > 1 {
 				return
 			}
 		default:
@@ -154,9 +166,11 @@
 	}
 }
 
-// watch plays until the end; false where the session broke.
-func playSegments(ctx context.Context, client *http.Client, url string, presentation *dash.Presentation, end time.Time, request Request, stats *Stats,
-	ended chan struct{}) bool {
+// playSegments plays a session and reports CMCD with each segment request. It
+// returns true when the viewer is done and false when the session broke: a
+// segment failed, or the director ended the session early.
+func playSegments(ctx context.Context, client *http.Client, url string, presentation *dash.Presentation,
+	end time.Time, request Request, stats *Stats, ended chan struct{}) bool {
 	rep, throughputKbps := len(presentation.Reps)-1, 0.0
 	starved := false
 	for i := 0; i < presentation.Segments(); i++ {
@@ -172,8 +186,10 @@
 			cmcd += ",bs"
 		}
 		requestedAt := time.Now()
-		maxKbps, err := fetchSegment(ctx, client, presentation.Media(rep, i)+"&CMCD="+neturl.QueryEscape(cmcd), 4*time.Duration(presentation.SegmentMs)*time.Millisecond)
-		throughputKbps = presentation.Reps[rep].KBps * presentation.SegmentMs * 8 / float64(max(time.Since(requestedAt).Milliseconds(), 1))
+		maxKbps, err := fetchSegment(ctx, client, presentation.Media(rep, i)+"&CMCD="+neturl.QueryEscape(cmcd),
+			4*time.Duration(presentation.SegmentMs)*time.Millisecond)
+		throughputKbps = presentation.Reps[rep].KBps * presentation.SegmentMs * 8 /
+			float64(max(time.Since(requestedAt).Milliseconds(), 1))
 		starved = false
 		if err != nil {
 			return errors.Is(err, context.Canceled) && ctx.Err() != nil
@@ -183,14 +199,15 @@
 			stats.Stalled.Add(1)
 			starved = true
 		}
-		if maxKbps > 0 { // kbit/s that the box suggests at most
+		if maxKbps > 0 {
 			for rep > 0 && presentation.Reps[rep].KBps*8 > maxKbps+1 {
 				rep--
 			}
 			for rep+1 < len(presentation.Reps) && presentation.Reps[rep+1].KBps*8 <= maxKbps+1 {
 				rep++
 			}
-			if presentation.Reps[len(presentation.Reps)-1].KBps*8 < maxKbps-1 { // the rung went over this manifest: it reads it again
+			// The suggested rate is above the manifest's highest representation: the manifest is read again.
+			if presentation.Reps[len(presentation.Reps)-1].KBps*8 < maxKbps-1 {
 				if reread := fetchManifest(ctx, client, url, request.GiveUp); reread.status == 200 {
 					if updated, err := dash.Parse(reread.body); err == nil && updated.Base == presentation.Base {
 						presentation, rep = updated, len(updated.Reps)-1
@@ -199,7 +216,7 @@
 			}
 		}
 		select {
-		case <-ended: // told by the director
+		case <-ended: // the director has ended the session
 			return i == presentation.Segments()-1
 		case <-time.After(time.Until(due)):
 		case <-ctx.Done():
@@ -208,6 +225,7 @@
 	return true
 }
 
+// fetchSegment downloads a segment and returns the bitrate in kbit/s that the node suggests as the maximum; 0: none.
 func fetchSegment(ctx context.Context, client *http.Client, url string, limit time.Duration) (maxKbps float64, err error) {
 	requestCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -224,7 +242,7 @@
 		return 0, err
 	}
 	if resp.StatusCode != 200 {
-		return 0, fmt.Errorf("player: segment: %s", resp.Status)
+		return 0, fmt.Errorf("player: segment request answered with %s", resp.Status)
 	}
 	for _, item := range strings.Split(resp.Header.Get("CMSD-Dynamic"), ";") {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(item), "mb="); ok {
--- a/internal/standin/player/sessionapi.go
+++ b/internal/standin/player/sessionapi.go
@@ -13,14 +13,17 @@
 	pb "headmill/internal/api/sessionv1"
 )
 
-// askSocket opens a session over the session API and keeps the connection; bye ends it. ended is closed when the
-// director says that the session is over.
-func openSession(ctx context.Context, client *http.Client, base, token string, giveUp time.Duration) (result answer, ended chan struct{}, closeSession func()) {
+// openSession opens a session over the session API. If the session plays, the
+// connection stays open until closeSession is called, and ended is closed when
+// the director reports that the session has ended.
+func openSession(ctx context.Context, client *http.Client, base, token string, giveUp time.Duration) (
+	result answer, ended chan struct{}, closeSession func()) {
 	ended = make(chan struct{})
 	setupCtx, cancel := context.WithTimeout(ctx, giveUp+200*time.Millisecond)
 	defer cancel()
-	conn, _, err := websocket.Dial(setupCtx, "ws"+strings.TrimPrefix(base, "http")+"/session", &websocket.DialOptions{HTTPClient: client,
-		Subprotocols: []string{"headmill.session.v1+proto"}, HTTPHeader: http.Header{"Authorization": {"Bearer " + token}}})
+	conn, _, err := websocket.Dial(setupCtx, "ws"+strings.TrimPrefix(base, "http")+"/session",
+		&websocket.DialOptions{HTTPClient: client, Subprotocols: []string{"headmill.session.v1+proto"},
+			HTTPHeader: http.Header{"Authorization": {"Bearer " + token}}})
 	if err != nil {
 		return answer{err: err}, ended, func() {}
 	}
@@ -51,14 +54,14 @@
 		case reply.GetFailed() != nil:
 			result = answer{status: int(reply.GetFailed().Status), homeURL: reply.GetFailed().Home}
 		default:
-			result = answer{err: errors.New("player: an answer of no known kind")}
+			result = answer{err: errors.New("player: unexpected kind of answer to open")}
 		}
 		conn.CloseNow()
 		return result, ended, func() {}
 	}
 }
 
-// listen reads on, so that pings are answered and the end is heard.
+// readUntilEnded reads messages, so that pings are answered, and closes ended when the session has ended.
 func readUntilEnded(ctx context.Context, conn *websocket.Conn, ended chan struct{}) {
 	for {
 		_, data, err := conn.Read(ctx)
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,6 +1,6 @@
-// Package tap is a TCP relay on loopback that records what passes, with times,
-// and cuts, delays, stalls and resets on order. It knows nothing of what it
-// carries.
+// Package relay is a TCP relay on loopback. It records the data that passes,
+// with times, and injects faults: delays, stalls, refused and reset
+// connections. It does not interpret the data.
 package relay
 
 import (
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// Kind is the sort of a record.
+// Kind is the kind of a record.
 type Kind uint8
 
-// The kinds. Forth is from the side that connected, Back to it.
+// Kinds of records. The client is the side that connected, the server the other.
 const (
-	Open Kind = iota
-	Forth
-	Back
-	ForthEnd // the side that connected ended its stream or broke it
-	BackEnd  // the other side did
-	Mark     // a word of the rehearsal itself: Text
+	Open     Kind = iota // a connection was opened
+	Forth                // data from the client
+	Back                 // data to the client
+	ForthEnd             // the client ended or reset its stream
+	BackEnd              // the server ended or reset its stream
+	Mark                 // an event of the rehearsal itself, in Text
 )
 
-// Record is one thing seen.
+// Record is one recorded event.
 type Record struct {
 	Kind Kind
 	AtMs float64 // since the log's start
-	Tap  string
-	Conn int
-	Data []byte
-	Text string
+	Tap  string  // name of the relay
+	Conn int     // number of the connection, unique in the log; 0 for Mark
+	Data []byte  // for Forth and Back
+	Text string  // for Mark
 }
 
-// Log gathers the records of all taps in the order in which they happened.
+// Log collects the records of all relays in the order in which they happened.
 type Log struct {
 	mu          sync.Mutex
 	start       time.Time
@@ -42,12 +42,13 @@
 	connections atomic.Int64
 }
 
-// NewLog starts the clock.
+// NewLog returns an empty log whose clock starts now.
 func NewLog() *Log { return &Log{start: time.Now()} }
 
-// Now is ms since the log's start.
+// Now returns the milliseconds since the log's start.
 func (l *Log) Now() float64 { return float64(time.Since(l.start).Microseconds()) / 1000 }
 
+// add appends a record with the present time.
 func (l *Log) add(r Record) {
 	l.mu.Lock()
 	r.AtMs = l.Now()
@@ -55,26 +56,26 @@
 	l.mu.Unlock()
 }
 
-// Mark records a word of the rehearsal.
+// Mark records an event of the rehearsal itself, such as the start of a process.
 func (l *Log) Mark(relay, text string) { l.add(Record{Kind: Mark, Tap: relay, Text: text}) }
 
-// Records returns what has been seen so far.
+// Records returns a copy of the records so far.
 func (l *Log) Records() []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Record(nil), l.records...)
 }
 
-// Faults are switched while the tap runs.
+// Faults are the failures that can be injected while the relay runs; the zero value means none.
 type Faults struct {
-	Stall                  bool    // nothing passes, connections stay
-	StallAnswers           bool    // answers don't pass
-	DelayMs                float64 // each part passes so much later, both ways
-	ResetAfterRequestBytes int     // connections are reset once so many bytes have passed forth; 0: never
-	ResetAfterAnswerBytes  int     // connections are reset once so many bytes of answers have passed; 0: never
+	Stall                  bool    // no data passes in either direction; connections stay open
+	StallAnswers           bool    // no data passes to the client; connections stay open
+	DelayMs                float64 // delay of each chunk, in both directions
+	ResetAfterRequestBytes int     // connections are reset after this many bytes to the server; 0: never
+	ResetAfterAnswerBytes  int     // connections are reset after this many bytes to the client; 0: never
 }
 
-// Tap is one relay.
+// Relay is a running relay.
 type Relay struct {
 	Name          string
 	log           *Log
@@ -83,35 +84,35 @@
 	listener      net.Listener
 	target        string
 	faults        Faults
-	faultsChanged chan struct{} // closed when a stall ends
+	faultsChanged chan struct{} // closed and replaced at each SetFaults
 	connections   map[net.Conn]bool
 	closed        bool
-	skipData      bool
+	skipData      bool // records carry no data
 }
 
-// New starts a relay to target, which may be set later. quiet taps record no bytes.
+// New starts a relay to target, which may be set later. With skipData it records no data, only connections and ends.
 func New(log *Log, name, target string, skipData bool) (*Relay, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("tap: %w", err)
+		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r := &Relay{Name: name, log: log, listener: listener, addr: listener.Addr().String(), target: target, faultsChanged: make(chan struct{}),
-		connections: map[net.Conn]bool{}, skipData: skipData}
+	r := &Relay{Name: name, log: log, listener: listener, addr: listener.Addr().String(), target: target,
+		faultsChanged: make(chan struct{}), connections: map[net.Conn]bool{}, skipData: skipData}
 	go r.acceptLoop(listener)
 	return r, nil
 }
 
-// Addr is where it listens.
+// Addr returns the listen address.
 func (r *Relay) Addr() string { return r.addr }
 
-// Target sets the other end.
+// SetTarget sets the server's address for new connections.
 func (r *Relay) SetTarget(addr string) {
 	r.mu.Lock()
 	r.target = addr
 	r.mu.Unlock()
 }
 
-// Set switches faults.
+// SetFaults replaces the injected faults.
 func (r *Relay) SetFaults(f Faults) {
 	r.mu.Lock()
 	r.faults = f
@@ -120,7 +121,7 @@
 	r.mu.Unlock()
 }
 
-// Refuse stops or begins to take connections, as where no process listens. It cuts those that stand.
+// Refuse closes the listener and resets all connections, as if no process listened, or listens again.
 func (r *Relay) Refuse(on bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,14 +140,14 @@
 	}
 	listener, err := net.Listen("tcp4", r.addr)
 	if err != nil {
-		return fmt.Errorf("tap: %w", err)
+		return fmt.Errorf("relay: %w", err)
 	}
 	r.listener = listener
 	go r.acceptLoop(listener)
 	return nil
 }
 
-// Reset breaks all connections that stand.
+// Reset resets all open connections.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,7 +156,7 @@
 	}
 }
 
-// Close ends the tap.
+// Close stops the relay.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -164,6 +165,7 @@
 	r.SetFaults(Faults{})
 }
 
+// resetConnection closes a connection with a TCP reset.
 func resetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -181,12 +183,14 @@
 	}
 }
 
+// currentFaults returns the injected faults and a channel that is closed when they change.
 func (r *Relay) currentFaults() (Faults, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.faults, r.faultsChanged
 }
 
+// serve relays one connection until both directions have ended.
 func (r *Relay) serve(client net.Conn) {
 	id := int(r.log.connections.Add(1))
 	r.mu.Lock()
@@ -216,8 +220,9 @@
 	r.mu.Unlock()
 }
 
-// pump carries one direction. What it records as Forth has been read from the side that connected; as Back,
-// has been handed to it. Reading goes on during a stall, so that the end of a side is seen when it happens.
+// forward carries one direction of a connection. Forth records data when it has been read from the client, Back when
+// it is about to be written to the client. Reading goes on during a stall, so that the end of a side is recorded when
+// it happens.
 func (r *Relay) forward(id int, from, to net.Conn, direction Kind, passed *atomic.Int64) {
 	end := ForthEnd
 	if direction == Back {
@@ -276,7 +281,8 @@
 		}
 		broken = reset || err != nil
 	}
-	for faults, changed := r.currentFaults(); faults.Stall; faults, changed = r.currentFaults() { // a silent machine does not tell its end either
+	// A machine that has become silent does not signal the end of its streams either.
+	for faults, changed := r.currentFaults(); faults.Stall; faults, changed = r.currentFaults() {
 		<-changed
 	}
 	if direction == Back {
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// upper is a server that answers each byte with the same byte and one more.
+// startEchoServer starts a server that answers each byte with the same byte and a plus sign, and returns its address.
 func startEchoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -38,6 +38,7 @@
 	return listener.Addr().String()
 }
 
+// startRelay starts a relay to an echo server.
 func startRelay(t *testing.T) (*Relay, *Log) {
 	log := NewLog()
 	relay, err := New(log, "t", startEchoServer(t), false)
@@ -58,6 +59,7 @@
 	return conn
 }
 
+// recordedData returns the data of all records of a kind.
 func recordedData(log *Log, kind Kind) (data string) {
 	for _, record := range log.Records() {
 		if record.Kind == kind {
@@ -67,6 +69,7 @@
 	return data
 }
 
+// waitFor fails the test if the condition does not become true within ten seconds.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -74,7 +77,7 @@
 			return
 		}
 	}
-	t.Fatal("not seen: " + what)
+	t.Fatal("did not happen: " + what)
 }
 
 func countRecords(log *Log, kind Kind) int {
@@ -87,34 +90,36 @@
 	return n
 }
 
+// Both directions and the ends of a connection are recorded, in the order of time.
 func TestRecordsWhatPasses(t *testing.T) {
 	relay, log := startRelay(t)
 	conn := dialRelay(t, relay)
 	conn.Write([]byte("ab"))
 	answer := make([]byte, 4)
 	if _, err := io.ReadFull(conn, answer); err != nil || string(answer) != "a+b+" {
-		t.Fatalf("%q %v", answer, err)
+		t.Fatalf("answer %q, error %v", answer, err)
 	}
 	conn.Close()
-	waitFor(t, "both ends", func() bool { return countRecords(log, ForthEnd) == 1 && countRecords(log, BackEnd) == 1 })
+	waitFor(t, "both ends are recorded", func() bool { return countRecords(log, ForthEnd) == 1 && countRecords(log, BackEnd) == 1 })
 	if recordedData(log, Forth) != "ab" || recordedData(log, Back) != "a+b+" {
-		t.Fatalf("forth %q back %q", recordedData(log, Forth), recordedData(log, Back))
+		t.Fatalf("recorded %q forth and %q back", recordedData(log, Forth), recordedData(log, Back))
 	}
 	last := 0.0
 	for _, record := range log.Records() {
 		if record.AtMs < last {
-			t.Fatal("records out of order")
+			t.Fatal("records are out of order")
 		}
 		last = record.AtMs
 	}
 }
 
+// A stall holds data back and loses none; the end of a side is recorded during the stall.
 func TestStallHoldsDataUntilLifted(t *testing.T) {
 	relay, log := startRelay(t)
 	conn := dialRelay(t, relay)
 	relay.SetFaults(Faults{StallAnswers: true})
 	conn.Write([]byte("a"))
-	waitFor(t, "the request passes", func() bool { return recordedData(log, Forth) == "a" })
+	waitFor(t, "the request is recorded", func() bool { return recordedData(log, Forth) == "a" })
 	conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Fatal("an answer passed the stall")
@@ -123,31 +128,35 @@
 	relay.SetFaults(Faults{})
 	answer := make([]byte, 2)
 	if _, err := io.ReadFull(conn, answer); err != nil || string(answer) != "a+" {
-		t.Fatalf("after the stall: %q %v", answer, err)
+		t.Fatalf("after the stall: answer %q, error %v", answer, err)
 	}
-	// A side that ends during a stall is seen when it does.
+	// The end of a side during a stall is recorded when it happens.
 	relay.SetFaults(Faults{Stall: true})
 	conn.Write([]byte("b"))
 	conn.Close()
-	waitFor(t, "the end within the stall", func() bool { return countRecords(log, ForthEnd) == 1 })
+	waitFor(t, "the end is recorded during the stall", func() bool { return countRecords(log, ForthEnd) == 1 })
 }
 
+// A connection is reset after the given number of bytes, and exactly those are recorded as sent to the client.
 func TestResetAfterBytes(t *testing.T) {
-	for name, faults := range map[string]Faults{"request": {ResetAfterRequestBytes: 2}, "answer": {ResetAfterAnswerBytes: 3}} {
+	for name, faults := range map[string]Faults{
+		"request": {ResetAfterRequestBytes: 2}, "answer": {ResetAfterAnswerBytes: 3},
+	} {
 		relay, log := startRelay(t)
 		relay.SetFaults(faults)
 		conn := dialRelay(t, relay)
 		conn.Write([]byte("abcd"))
 		answer, err := io.ReadAll(conn)
 		if err == nil && len(answer) == 8 {
-			t.Errorf("%s: not cut", name)
+			t.Errorf("%s: connection was not reset", name)
 		}
 		if faults.ResetAfterAnswerBytes > 0 && recordedData(log, Back) != "a+b" {
-			t.Errorf("%s: %q was handed on, want three bytes", name, recordedData(log, Back))
+			t.Errorf("%s: %q was sent to the client, want three bytes", name, recordedData(log, Back))
 		}
 	}
 }
 
+// Refuse resets open connections and refuses new ones until it is lifted; Reset only resets open ones.
 func TestRefuseAndReset(t *testing.T) {
 	relay, _ := startRelay(t)
 	conn := dialRelay(t, relay)
@@ -157,10 +166,10 @@
 		t.Fatal(err)
 	}
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Error("a connection outlives the refusal")
+		t.Error("connection stays open after Refuse(true)")
 	}
 	if _, err := net.Dial("tcp4", relay.Addr()); err == nil {
-		t.Error("connections are still taken")
+		t.Error("connection accepted after Refuse(true)")
 	}
 	if err := relay.Refuse(false); err != nil {
 		t.Fatal(err)
@@ -168,14 +177,15 @@
 	conn = dialRelay(t, relay)
 	conn.Write([]byte("a"))
 	if _, err := io.ReadFull(conn, make([]byte, 2)); err != nil {
-		t.Errorf("after the refusal: %v", err)
+		t.Errorf("after Refuse(false): %v", err)
 	}
 	relay.Reset()
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Error("not reset")
+		t.Error("connection stays open after Reset")
 	}
 }
 
+// Data is delayed in both directions.
 func TestDelay(t *testing.T) {
 	relay, _ := startRelay(t)
 	relay.SetFaults(Faults{DelayMs: 60})
@@ -186,6 +196,6 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(startedAt); took < 120*time.Millisecond {
-		t.Errorf("took %v with 60 ms each way", took)
+		t.Errorf("round trip took %v, want at least 120 ms (60 ms each way)", took)
 	}
 }
