--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -1,6 +1,8 @@
-// Package stage sets up a small fleet on loopback for rehearsals and for
-// trying things out: a list service in this process, directors and boxes in
-// processes of their own, and relays between them where wanted.
+// Package cluster runs a small fleet on loopback for rehearsals and manual
+// trials: the discovery stand-in in this process, directors and media nodes in
+// processes of their own, and optionally relays between them. Its input is a
+// Spec; settings, keys, logs and the processes' error output are files in
+// Spec.Dir.
 package cluster
 
 import (
@@ -28,32 +30,32 @@
 	"headmill/internal/token"
 )
 
-// Spec says what the fleet looks like.
+// Spec describes a fleet.
 type Spec struct {
-	Directors, Boxes       int
-	Racks                  int
-	Relays                 bool // relays that record between viewers, directors, boxes and the list
-	Base                   config.Settings
-	Box                    medianode.Config // what all boxes share
-	ListStateDelayMs       float64
-	ListAddMs              float64
-	ListHeartbeatTimeoutMs float64
-	Exe                    string // this program
-	Dir                    string // for settings, keys and logs
+	Directors, Boxes       int              // number of directors and of media nodes
+	Racks                  int              // media nodes are spread over the racks in turn
+	Relays                 bool             // recording relays stand between viewers, directors, nodes and discovery
+	Base                   config.Settings  // settings that all directors share
+	Box                    medianode.Config // configuration that all media nodes share
+	ListStateDelayMs       float64          // discovery.Config.StateDelayMs
+	ListAddMs              float64          // discovery.Config.StartDelayMs
+	ListHeartbeatTimeoutMs float64          // discovery.Config.SilentMs
+	Exe                    string           // path of the headmill executable
+	Dir                    string           // folder for settings, keys and logs
 }
 
 // Proc is one process of the fleet.
 type Proc struct {
 	Name     string
-	Addr     string // where it listens itself
-	Operator string // its operators' API
+	Addr     string // listen address, behind the relay if there is one
+	Operator string // address of the operators' API; directors only
 	cmd      *exec.Cmd
-	stdin    io.WriteCloser
-	exited   chan struct{}
-	Err      error // after done
+	stdin    io.WriteCloser // kept open: the process stops when it is closed
+	exited   chan struct{}  // closed when the process has exited
+	Err      error          // result of the process; valid once exited is closed
 }
 
-// Alive tells whether the process runs.
+// Alive reports whether the process runs.
 func (p *Proc) Alive() bool {
 	select {
 	case <-p.exited:
@@ -63,13 +65,13 @@
 	}
 }
 
-// Kill ends it as kill -9 does.
+// Kill ends the process with SIGKILL and waits for its exit.
 func (p *Proc) Kill() {
 	p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// Term asks it to stop and waits for at most the time.
+// Term sends SIGTERM and waits for the exit; it kills the process after the given time.
 func (p *Proc) Term(wait time.Duration) error {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -77,39 +79,38 @@
 		return p.Err
 	case <-time.After(wait):
 		p.Kill()
-		return errors.New("did not stop in time")
+		return errors.New("process did not stop in time after SIGTERM")
 	}
 }
 
-// Pid is the process's number.
+// Pid returns the process ID.
 func (p *Proc) Pid() int { return p.cmd.Process.Pid }
 
-// Member is a director or a box with its relays.
+// Member is a director or a media node with its relays.
 type Member struct {
-	Name           string
-	Relay          *relay.Relay            // before it: viewers to a director, directors to a box
-	DiscoveryRelay *relay.Relay            // a director's way to the list service
-	Boxes          map[string]*relay.Relay // a director's own ways to the boxes are the boxes' fronts
-	URL            string
-	Proc           *Proc
-	Conf           string
-	Box            medianode.Config
-	listenerFile   *os.File
-	mu             sync.Mutex
+	Name           string                  // d0, d1, ... for directors; b0, b1, ... for media nodes
+	Relay          *relay.Relay            // from viewers to a director, or from directors to a media node; nil: none
+	DiscoveryRelay *relay.Relay            // from a director to discovery; nil: none
+	Boxes          map[string]*relay.Relay // not set: directors reach the media nodes through the nodes' relays
+	URL            string                  // base URL of a director for viewers
+	Proc           *Proc                   // nil until started
+	Conf           string                  // path of a director's settings
+	Box            medianode.Config        // configuration of a media node
+	listenerFile   *os.File                // listening socket that a director inherits at each start
 }
 
-// Stage is a running fleet.
+// Cluster is a running fleet.
 type Cluster struct {
 	Spec      Spec
-	Log       *relay.Log
+	Log       *relay.Log // records of all relays
 	Discovery *discovery.Server
 	Directors []*Member
-	Boxes     []*Member
-	Key       token.Key
-	Keys      []byte
+	Boxes     []*Member // media nodes
+	Key       token.Key // signs session tokens
+	Keys      []byte    // public JSON Web Key Set
 }
 
-// New makes keys, settings and relays, and starts the list service; nothing else runs yet.
+// New creates keys, settings and relays, and starts the discovery service. Directors and media nodes do not run yet.
 func New(spec Spec) (*Cluster, error) {
 	cluster := &Cluster{Spec: spec, Log: relay.NewLog()}
 	seed := make([]byte, 32)
@@ -146,7 +147,8 @@
 	return cluster, cluster.configureDirectors()
 }
 
-// directors makes the settings of all directors; each must know the others' addresses.
+// configureDirectors opens the directors' sockets and writes their settings. The sockets come first because each
+// director's settings contain the addresses of all.
 func (cluster *Cluster) configureDirectors() error {
 	var names, urls []string
 	for i := range cluster.Spec.Directors {
@@ -166,7 +168,8 @@
 				return err
 			}
 			director.URL = "http://" + director.Relay.Addr()
-			if director.DiscoveryRelay, err = relay.New(cluster.Log, director.Name+"/list", cluster.Discovery.Addr(), false); err != nil {
+			if director.DiscoveryRelay, err = relay.New(cluster.Log, director.Name+"/list",
+				cluster.Discovery.Addr(), false); err != nil {
 				return err
 			}
 		}
@@ -176,7 +179,8 @@
 	for _, director := range cluster.Directors {
 		settings := cluster.Spec.Base
 		settings.Director.Name, settings.Director.Directors, settings.Director.URLs = director.Name, names, urls
-		settings.Director.Listen, settings.List.Addr, settings.Tokens.Keys = "127.0.0.1:0", cluster.Discovery.Addr(), "keys.json"
+		settings.Director.Listen, settings.List.Addr, settings.Tokens.Keys =
+			"127.0.0.1:0", cluster.Discovery.Addr(), "keys.json"
 		settings.Director.Operator = "127.0.0.1:0"
 		settings.Director.FirstStart = true
 		if director.DiscoveryRelay != nil {
@@ -192,18 +196,20 @@
 			return err
 		}
 		if _, err := config.Load(director.Conf); err != nil {
-			return fmt.Errorf("stage: its own settings: %w", err)
+			return fmt.Errorf("cluster: generated settings are invalid: %w", err)
 		}
 	}
 	return nil
 }
 
-// spawn starts this program as a member. The child ends when its standard input does, so that nothing is left
-// behind where this process dies.
+// spawn starts the headmill executable as a member and waits for its first
+// output line, which carries its addresses in JSON. The child stops when its
+// standard input is closed, so that no process is left behind if this one dies.
 func (cluster *Cluster) spawn(name string, files []*os.File, args ...string) (*Proc, error) {
 	cmd := exec.Command(cluster.Spec.Exe, args...)
 	cmd.ExtraFiles = files
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a Ctrl-C is for this process; it stops the others in order
+	// A process group of its own: Ctrl-C must reach only this process, which stops the others in order.
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	stderr, err := os.OpenFile(filepath.Join(cluster.Spec.Dir, name+".err"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -219,7 +225,7 @@
 		return nil, err
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("stage: %s: %w", name, err)
+		return nil, fmt.Errorf("cluster: starting %s: %w", name, err)
 	}
 	line := make(chan string, 1)
 	go func() {
@@ -239,17 +245,18 @@
 		if json.Unmarshal([]byte(first), &ready) != nil || ready.Addr == "" {
 			<-proc.exited
 			text, _ := os.ReadFile(stderr.Name())
-			return nil, fmt.Errorf("stage: %s did not start: %s", name, text)
+			return nil, fmt.Errorf("cluster: %s did not start: %s", name, text)
 		}
 		proc.Addr, proc.Operator = ready.Addr, ready.Operator
 	case <-time.After(20 * time.Second):
 		cmd.Process.Kill()
-		return nil, fmt.Errorf("stage: %s did not start in 20 s", name)
+		return nil, fmt.Errorf("cluster: %s did not start in 20 s", name)
 	}
 	return proc, nil
 }
 
-// StartBox starts a box's process; cold says that it has just been switched on.
+// StartBox starts a media node's process and directs its relay there; cold simulates a node that has just been
+// switched on.
 func (cluster *Cluster) StartBox(node *Member, cold bool) error {
 	node.Box.Cold, node.Box.Addr = cold, "127.0.0.1:0"
 	conf, err := json.Marshal(node.Box)
@@ -272,7 +279,8 @@
 	return nil
 }
 
-// StartDirector starts a director's process on its own socket; first says that no run of it took tokens before.
+// StartDirector starts a director's process on its socket; first says that no earlier run of this director has
+// accepted tokens.
 func (cluster *Cluster) StartDirector(director *Member, first bool) error {
 	args := []string{"serve", director.Conf, "--listen-fd", "3", "--follow-stdin"}
 	if !first {
@@ -285,7 +293,7 @@
 	return err
 }
 
-// Start starts all and waits until every director knows every box.
+// Start starts all members and waits until every director knows every media node.
 func (cluster *Cluster) Start() error {
 	errs := make(chan error, len(cluster.Boxes)+len(cluster.Directors))
 	for _, node := range cluster.Boxes {
@@ -309,7 +317,7 @@
 	return nil
 }
 
-// WaitDirector waits until a director knows so many boxes.
+// WaitDirector waits until a director reports at least the given number of media nodes.
 func (cluster *Cluster) WaitDirector(director *Member, nodes int) error {
 	client := &http.Client{Timeout: time.Second}
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
@@ -325,10 +333,10 @@
 			}
 		}
 	}
-	return fmt.Errorf("stage: %s does not know its boxes after 20 s", director.Name)
+	return fmt.Errorf("cluster: %s does not know its media nodes after 20 s", director.Name)
 }
 
-// WaitNoBoxes waits until a director knows that no box is left.
+// WaitNoBoxes waits until a director reports that it has no media nodes (503 from /healthz).
 func (cluster *Cluster) WaitNoBoxes(director *Member) error {
 	client := &http.Client{Timeout: time.Second}
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
@@ -339,10 +347,10 @@
 			}
 		}
 	}
-	return fmt.Errorf("stage: %s still knows boxes after 20 s", director.Name)
+	return fmt.Errorf("cluster: %s still has media nodes after 20 s", director.Name)
 }
 
-// Fault switches a box's own faults.
+// SetFaults replaces the faults injected into a media node; it does nothing if the node does not run.
 func (cluster *Cluster) SetFaults(node *Member, faults medianode.Faults) error {
 	if node.Proc == nil || !node.Proc.Alive() {
 		return nil
@@ -357,7 +365,7 @@
 	return err
 }
 
-// Close ends all: directors in order, then the rest.
+// Close stops the directors in an orderly way, then kills the media nodes and closes the relays and discovery.
 func (cluster *Cluster) Close() {
 	var wg sync.WaitGroup
 	for _, director := range cluster.Directors {
@@ -365,7 +373,8 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				director.Proc.cmd.Process.Signal(syscall.SIGTERM) // twice: in a hurry
+				// Two signals, this one and Term's, request a fast stop.
+				director.Proc.cmd.Process.Signal(syscall.SIGTERM)
 				time.Sleep(50 * time.Millisecond)
 				director.Proc.Term(5 * time.Second)
 			}()
--- a/internal/standin/cluster/page.go
+++ b/internal/standin/cluster/page.go
@@ -10,8 +10,9 @@
 //go:embed page.html
 var pageHTML []byte
 
-// Page serves a page that plays a title in dash.js and shows what there is to see: box, rung, buffer, what the box
-// tells (CMSD), the events of the session API. script is the path of dash.js; info is what the page is told.
+// Page serves a web page that plays a title in dash.js and shows the media node, the rung, the buffer, the node's
+// suggested bitrate (CMSD) and the events of the session API. script is the path of dash.js; the page loads info as
+// /up.json. It returns the listen address.
 func Page(script string, info any) (addr string, err error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/medianode/node.go
+++ b/internal/standin/medianode/node.go
@@ -50,8 +50,8 @@
 	LateMs     float64 `json:"LateMs" toml:"LateMs"`     // delay of load reports
 
 	WarmUpMs         float64 `json:"WarmMs" toml:"WarmMs"`     // warm-up time after a cold start
-	ColdRateFraction float64 `json:"ColdFrom" toml:"ColdFrom"` // share of the warm set-up rate at the moment of a cold start
-	OverloadFactor   float64 `json:"Factor" toml:"Factor"`     // a cold node crashes at this many times its set-up rate; 0: never
+	ColdRateFraction float64 `json:"ColdFrom" toml:"ColdFrom"` // share of the warm set-up rate right after a cold start
+	OverloadFactor   float64 `json:"Factor" toml:"Factor"`     // a cold node crashes at this multiple of its set-up rate; 0: never
 	OverloadWindowMs float64 `json:"TipMs" toml:"TipMs"`       // window over which that rate is measured
 	Cold             bool    // the node starts cold
 
@@ -60,7 +60,7 @@
 	MaxReportDelayMs        float64 `json:"LateUpToMs" toml:"LateUpToMs"` // longest delay of those
 	DuplicateReportFraction float64 `json:"DoublePart" toml:"DoublePart"` // share of players' reports sent twice
 
-	ListAddr string `json:"ListAddr" toml:"ListAddr"` // discovery service that receives heartbeats; empty: none
+	ListAddr string `json:"ListAddr" toml:"ListAddr"` // address of the discovery service; empty: none
 	Keys     []byte // JSON Web Key Set
 }
 
@@ -567,8 +567,8 @@
 			}
 		}
 		heartbeat, _ := json.Marshal(map[string]any{"addr": node.config.PublicAddr, "boot": node.bootID,
-			"cell": node.config.Cell, "rack": node.config.Rack, "kind": node.config.Kind, "zone": node.config.Zone, "cold": node.config.Cold,
-			"up_ms": milliseconds(now.Sub(node.startedAt)), "asked_kb": math.Min(node.demandKB(), node.linkKB())})
+			"cell": node.config.Cell, "rack": node.config.Rack, "kind": node.config.Kind, "zone": node.config.Zone,
+			"cold": node.config.Cold, "up_ms": milliseconds(now.Sub(node.startedAt)), "asked_kb": math.Min(node.demandKB(), node.linkKB())})
 		node.mu.Unlock()
 		if node.config.ListAddr == "" {
 			continue
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -100,7 +100,9 @@
 		t.Fatalf("answer %q, error %v", answer, err)
 	}
 	conn.Close()
-	waitFor(t, "both ends are recorded", func() bool { return countRecords(log, ForthEnd) == 1 && countRecords(log, BackEnd) == 1 })
+	waitFor(t, "both ends are recorded", func() bool {
+		return countRecords(log, ForthEnd) == 1 && countRecords(log, BackEnd) == 1
+	})
 	if recordedData(log, Forth) != "ab" || recordedData(log, Back) != "a+b+" {
 		t.Fatalf("recorded %q forth and %q back", recordedData(log, Forth), recordedData(log, Back))
 	}
--- a/internal/standin/scenario/run.go
+++ b/internal/standin/scenario/run.go
@@ -31,31 +31,31 @@
 	"headmill/internal/token"
 )
 
-// Run is one rehearsal.
+// Run plays one rehearsal.
 type Run struct {
 	Script *Script
-	Exe    string
-	Dir    string
-	Edit   func(*cluster.Spec) // changes the fleet before it starts
-	Say    func(format string, args ...any)
+	Exe    string                           // path of the headmill executable
+	Dir    string                           // folder for settings, keys and logs
+	Edit   func(*cluster.Spec)              // changes the fleet before it starts; nil: none
+	Say    func(format string, args ...any) // prints progress; nil: nothing is printed
 
 	fleet         *cluster.Cluster
 	mu            sync.Mutex
 	nodeFaults    []medianode.Faults
-	restarting    map[int]bool // boxes that a process trouble has in hand
-	rateFactor    float64
+	restarting    map[int]bool // media nodes whose process a trouble has stopped
+	rateFactor    float64      // factor on the script's rate of new viewers
 	ctx           context.Context
 	client        *http.Client
-	viewerRand    *rand.Rand // of the day's viewers
-	floodRand     *rand.Rand // of a flood's
+	viewerRand    *rand.Rand // draws the script's viewers
+	floodRand     *rand.Rand // draws the viewers of a retry flood
 	viewerCount   atomic.Int64
 	activeViewers sync.WaitGroup
 	StartedAt     time.Time
 	Stats         player.Stats
-	CPU           []float64 // ms that each director used, as far as it lived to the end
+	CPU           []float64 // CPU time in ms of each director that runs at the end
 }
 
-// Play runs the script to its end and returns the auditor's report.
+// Play runs the script to its end and returns the audit report on what the relays recorded.
 func (r *Run) Play() (*audit.Report, error) {
 	script := r.Script
 	spec := cluster.Small(script.Directors, script.Boxes, script.Titles, script.LifeS*1000)
@@ -65,11 +65,14 @@
 	spec.Base.Tenants = []config.Tenant{{Name: tenants[0], Share: 0.7}, {Name: tenants[1], Share: 0.3}}
 	if script.CapacityFactor > 0 {
 		fleet, node := &spec.Base.Fleet, &spec.Box
-		fleet.TotalLinkKB, fleet.UplinkKB, node.LinkKB, node.UplinkKB = fleet.TotalLinkKB*script.CapacityFactor, fleet.UplinkKB*script.CapacityFactor, node.LinkKB*script.CapacityFactor, node.UplinkKB*script.CapacityFactor
+		fleet.TotalLinkKB, fleet.UplinkKB, node.LinkKB, node.UplinkKB =
+			fleet.TotalLinkKB*script.CapacityFactor, fleet.UplinkKB*script.CapacityFactor,
+			node.LinkKB*script.CapacityFactor, node.UplinkKB*script.CapacityFactor
 		node.Places = int(math.Round(float64(node.Places) * script.CapacityFactor))
 		fleet.StreamsByKind = []int{node.Places}
 	}
-	if err := errors.Join(applyOverrides(&spec.Base, script.DirectorSettings), applyOverrides(&spec.Box, script.NodeSettings)); err != nil {
+	if err := errors.Join(applyOverrides(&spec.Base, script.DirectorSettings),
+		applyOverrides(&spec.Box, script.NodeSettings)); err != nil {
 		return nil, err
 	}
 	if r.Edit != nil {
@@ -83,7 +86,8 @@
 	if err := fleet.Start(); err != nil {
 		return nil, err
 	}
-	r.fleet, r.nodeFaults, r.restarting, r.rateFactor = fleet, make([]medianode.Faults, script.Boxes), map[int]bool{}, 1
+	r.fleet, r.nodeFaults, r.restarting, r.rateFactor =
+		fleet, make([]medianode.Faults, script.Boxes), map[int]bool{}, 1
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	startedAt := time.Now()
@@ -96,7 +100,8 @@
 		go func() {
 			defer wg.Done()
 			time.Sleep(time.Until(startedAt.Add(secondsDuration(trouble.AtS))))
-			r.printf("%5.1f s  %s on %s for %.0f s", time.Since(startedAt).Seconds(), trouble.Name, targetNames(trouble, targets), trouble.LenS)
+			r.printf("%5.1f s  %s on %s for %.0f s", time.Since(startedAt).Seconds(), trouble.Name,
+				targetNames(trouble, targets), trouble.LenS)
 			r.playTrouble(trouble, targets)
 		}()
 	}
@@ -111,10 +116,11 @@
 			r.CPU = append(r.CPU, bench.CPUMs(director.Proc.Pid()))
 		}
 	}
-	time.Sleep(300 * time.Millisecond) // the last notes
+	time.Sleep(300 * time.Millisecond) // the last events must pass the relays
 	return audit.Judge(fleet.Log.Records(), AuditTerms(fleet)), nil
 }
 
+// printf prints a line of progress.
 func (r *Run) printf(format string, args ...any) {
 	if r.Say != nil {
 		r.Say(format, args...)
@@ -123,6 +129,7 @@
 
 func secondsDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// targetNames returns the names of what a trouble affects, for progress lines.
 func targetNames(trouble Trouble, targets []int) string {
 	if trouble.Name == "burst" || trouble.Name == "retry_flood" {
 		return "viewers"
@@ -138,7 +145,8 @@
 	return strings.Join(out, ",")
 }
 
-// victims draws whom a trouble falls on; the same seed draws the same.
+// pickTargets selects the media nodes or directors that a trouble affects; the same seed selects the same ones. The
+// draw takes place even if the script names the targets, so that they do not change the draws for later troubles.
 func (r *Run) pickTargets(trouble Trouble, rng *rand.Rand) []int {
 	candidates := r.Script.Boxes
 	if affectsDirectors[trouble.Name] {
@@ -157,7 +165,7 @@
 	return targets
 }
 
-// set changes one box's faults.
+// changeNodeFaults changes the faults injected into a media node.
 func (r *Run) changeNodeFaults(index int, change func(*medianode.Faults)) {
 	r.mu.Lock()
 	change(&r.nodeFaults[index])
@@ -168,7 +176,8 @@
 	}
 }
 
-// take claims a box for a trouble of its process; false where another has it.
+// claimNode claims or releases a media node for a trouble that stops its process. It returns false if another trouble
+// has claimed the node.
 func (r *Run) claimNode(index int, claim bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,6 +188,7 @@
 	return true
 }
 
+// playTrouble injects a trouble into its targets, waits for its length and removes it.
 func (r *Run) playTrouble(trouble Trouble, targets []int) {
 	wait := func() { time.Sleep(secondsDuration(trouble.LenS)) }
 	apply := func(begin, end func(f *medianode.Faults)) {
@@ -193,7 +203,7 @@
 	switch trouble.Name {
 	case "slow":
 		apply(func(f *medianode.Faults) { f.Slow = trouble.Magnitude }, func(f *medianode.Faults) { f.Slow = 0 })
-	case "origin_slow": // the uplinks of the racks in which the drawn boxes stand
+	case "origin_slow": // affects the uplinks of the targets' racks, so all nodes of those racks
 		racks := map[int]bool{}
 		for _, i := range targets {
 			racks[r.fleet.Boxes[i].Box.Rack] = true
@@ -204,20 +214,23 @@
 				targets = append(targets, i)
 			}
 		}
-		apply(func(f *medianode.Faults) { f.UplinkSlowdown = trouble.Magnitude }, func(f *medianode.Faults) { f.UplinkSlowdown = 0 })
+		apply(func(f *medianode.Faults) { f.UplinkSlowdown = trouble.Magnitude },
+			func(f *medianode.Faults) { f.UplinkSlowdown = 0 })
 	case "fast_errors":
-		apply(func(f *medianode.Faults) { f.ErrorFraction = trouble.Magnitude }, func(f *medianode.Faults) { f.ErrorFraction = 0 })
+		apply(func(f *medianode.Faults) { f.ErrorFraction = trouble.Magnitude },
+			func(f *medianode.Faults) { f.ErrorFraction = 0 })
 	case "hang":
 		apply(func(f *medianode.Faults) { f.Hang = true }, func(f *medianode.Faults) { f.Hang = false })
 	case "answer_lost":
 		apply(func(f *medianode.Faults) { f.Lost = true }, func(f *medianode.Faults) { f.Lost = false })
 	case "report_late":
-		apply(func(f *medianode.Faults) { f.EventDelayMs = trouble.Magnitude * 1000 }, func(f *medianode.Faults) { f.EventDelayMs = 0 })
+		apply(func(f *medianode.Faults) { f.EventDelayMs = trouble.Magnitude * 1000 },
+			func(f *medianode.Faults) { f.EventDelayMs = 0 })
 	case "burst":
 		r.setRateFactor(trouble.Magnitude)
 		wait()
 		r.setRateFactor(1)
-	case "retry_flood": // of the second brand; its viewers come again every 100 ms whatever they are told
+	case "retry_flood": // viewers of the second tenant that retry every 100 ms, whatever Retry-After says
 		end := time.Now().Add(secondsDuration(trouble.LenS))
 		for at := time.Now(); at.Before(end); at = at.Add(time.Duration(float64(time.Second) / trouble.Magnitude)) {
 			time.Sleep(time.Until(at))
@@ -267,8 +280,9 @@
 	}
 }
 
-// restartBox takes a box down and starts it again cold. One that vanishes is stopped without a word, and its
-// machine does not even reset what stands.
+// restartNode kills a media node and starts it again cold after the trouble's
+// length. A node that vanishes does so silently: its relay stalls, as its
+// machine does not even reset the open connections.
 func (r *Run) restartNode(trouble Trouble, node *cluster.Member) {
 	if trouble.Name == "vanish" {
 		r.fleet.Log.Mark(node.Name, "vanished")
@@ -289,7 +303,7 @@
 	}
 	r.fleet.Log.Mark(node.Name, "started")
 	proc := node.Proc
-	go func() {
+	go func() { // records a crash by overload, which the node reports as exit status 9
 		for proc.Alive() {
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -299,15 +313,17 @@
 	}()
 }
 
+// setRateFactor sets the factor on the rate of new viewers.
 func (r *Run) setRateFactor(factor float64) {
 	r.mu.Lock()
 	r.rateFactor = factor
 	r.mu.Unlock()
 }
 
+// tenants are the tenants of the viewers; the second sends three of ten.
 var tenants = [2]string{"hanbit-mobile", "dasol-talk"}
 
-// viewers draws viewers until the script's end and lets them live on.
+// generateViewers starts viewers at random intervals until the script's end; they may play on after it.
 func (r *Run) generateViewers(startedAt time.Time) {
 	at := 0.0
 	for {
@@ -329,24 +345,27 @@
 	}
 }
 
-// viewer draws one viewer of a brand and lets it live.
+// startViewer draws a viewer of a tenant and starts it; edit, if not nil, changes its request first.
 func (r *Run) startViewer(rng *rand.Rand, edit func(*player.Request), tenant int) {
 	script, fleet := r.Script, r.fleet
 	titles := fleet.Spec.Base.Titles
-	title := &titles[int(float64(len(titles))*math.Pow(rng.Float64(), 1.5))] // some are wanted far more than others
+	// The exponent makes the first titles more popular than the last.
+	title := &titles[int(float64(len(titles))*math.Pow(rng.Float64(), 1.5))]
 	class := &fleet.Spec.Base.Classes[fleet.Spec.Base.ClassIndex(title.Class)]
 	viewer, maxRung := fmt.Sprintf("v%d", r.viewerCount.Add(1)), len(fleet.Spec.Base.Ladder.RateKB)-1
 	if rng.Float64() < 0.2 {
 		maxRung--
 	}
 	attempts := 0
-	request := player.Request{Title: title.Name, Class: title.Class, AtMostOnce: class.Semantics == "once", GiveUp: time.Duration(class.GiveUpMs) * time.Millisecond,
-		WatchTime: time.Duration(title.DurationMs) * time.Millisecond, Seed: rng.Uint64(), Duplicate: rng.Float64() < script.DuplicateFraction,
-		UseSessionAPI: rng.Float64() < script.SessionAPIFraction,
+	request := player.Request{Title: title.Name, Class: title.Class, AtMostOnce: class.Semantics == "once",
+		GiveUp:    time.Duration(class.GiveUpMs) * time.Millisecond,
+		WatchTime: time.Duration(title.DurationMs) * time.Millisecond, Seed: rng.Uint64(),
+		Duplicate: rng.Float64() < script.DuplicateFraction, UseSessionAPI: rng.Float64() < script.SessionAPIFraction,
 		Token: func() string {
 			attempts++
 			now := time.Now()
-			signed, err := fleet.Key.Mint(token.Claims{Title: title.Name, Class: title.Class, Tenant: tenants[tenant], MaxRung: maxRung,
+			signed, err := fleet.Key.Mint(token.Claims{Title: title.Name, Class: title.Class, Tenant: tenants[tenant],
+				MaxRung: maxRung,
 				RegisteredClaims: jwt.RegisteredClaims{Subject: viewer, ID: fmt.Sprintf("%s-%d", viewer, attempts),
 					IssuedAt: jwt.NewNumericDate(now), ExpiresAt: jwt.NewNumericDate(now.Add(10 * time.Minute))}})
 			if err != nil {
@@ -365,15 +384,15 @@
 	}()
 }
 
-// Found is one line of a director's log on quality.
+// Finding is a finding of the quality detector in a director's log.
 type Finding struct {
 	Director, Group, Name string
 	Over                  bool
 	Load                  float64
-	At                    float64 // s since the day began
+	At                    float64 // seconds since the start of the rehearsal
 }
 
-// Findings reads what the directors' logs say of quality.
+// Findings returns the findings of the quality detector in all directors' logs, in the order of time.
 func (r *Run) Findings() (out []Finding, err error) {
 	for _, director := range r.fleet.Directors {
 		file, err := os.Open(filepath.Join(r.Dir, director.Name+".log"))
@@ -391,7 +410,8 @@
 				Load        float64
 			}
 			if json.Unmarshal(scanner.Bytes(), &line) == nil && strings.HasPrefix(line.Msg, "quality: ") {
-				out = append(out, Finding{director.Name, line.Group, line.Name, line.Over, line.Load, line.Time.Sub(r.StartedAt).Seconds()})
+				out = append(out, Finding{director.Name, line.Group, line.Name, line.Over, line.Load,
+					line.Time.Sub(r.StartedAt).Seconds()})
 			}
 		}
 	}
@@ -399,7 +419,7 @@
 	return out, nil
 }
 
-// RackOf is the rack in which the box of an address stands; -1 for no box.
+// RackOf returns the rack of the media node with the given address; -1 if there is none.
 func (r *Run) RackOf(addr string) int {
 	for _, node := range r.fleet.Boxes {
 		if node.Box.PublicAddr == addr {
@@ -409,15 +429,16 @@
 	return -1
 }
 
-// Terms is what the auditor is told of the fleet: the terms of service, not what any director thinks.
+// AuditTerms returns the terms of service that the auditor checks the fleet against. They come from the fleet's
+// specification, not from any director's view.
 func AuditTerms(fleet *cluster.Cluster) audit.Terms {
 	settings, node := &fleet.Spec.Base, &fleet.Spec.Box
 	terms := audit.Terms{Classes: map[string]audit.Class{}, Titles: map[string]audit.Title{}, Boxes: map[string]string{},
 		Worth: settings.Ladder.Worth, SlackMs: 40, GraceMs: 250, Places: float64(node.Places), WarmMs: node.WarmUpMs,
 		ColdFrom: node.ColdRateFraction, Factor: node.OverloadFactor, TipMs: node.OverloadWindowMs, Shortfall: 6}
 	for _, class := range settings.Classes {
-		terms.Classes[class.Name] = audit.Class{AtMostOnce: class.Semantics == "once", TargetMs: class.TargetMs, GiveUpMs: class.GiveUpMs, Value: class.Value,
-			Floor: class.MinRung, Seats: class.MaxPerTitle}
+		terms.Classes[class.Name] = audit.Class{AtMostOnce: class.Semantics == "once", TargetMs: class.TargetMs,
+			GiveUpMs: class.GiveUpMs, Value: class.Value, Floor: class.MinRung, Seats: class.MaxPerTitle}
 	}
 	for _, title := range settings.Titles {
 		terms.Titles[title.Name] = audit.Title{Class: title.Class, DurationMs: title.DurationMs}
--- a/internal/standin/scenario/script.go
+++ b/internal/standin/scenario/script.go
@@ -1,6 +1,7 @@
-// Package rehearse plays a scripted bad day against real directors: it draws
-// viewers, injects the script's troubles into boxes, relays and processes, and
-// hands what the relays saw to the auditor.
+// Package scenario rehearses a scripted bad day against real directors. Its
+// input is a script in TOML. It generates viewers, injects the script's
+// troubles into media nodes, relays and processes, and returns the audit report
+// on what the relays recorded.
 package scenario
 
 import (
@@ -13,27 +14,27 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Script is a bad day. Troubles bear the names and columns under which operators record them.
+// Script describes a bad day. Troubles have the names and columns under which operators record them.
 type Script struct {
-	Seconds            float64        `toml:"seconds"`
-	Rate               float64        `toml:"rate"` // new viewers a second
+	Seconds            float64        `toml:"seconds"` // length of the day
+	Rate               float64        `toml:"rate"`    // new viewers per second
 	Directors          int            `toml:"directors"`
-	Boxes              int            `toml:"boxes"`
+	Boxes              int            `toml:"boxes"` // media nodes
 	Titles             int            `toml:"titles"`
-	LifeS              float64        `toml:"life_s"`
+	LifeS              float64        `toml:"life_s"` // duration of the shortest titles
 	Seed               uint64         `toml:"seed"`
-	DuplicateFraction  float64        `toml:"double"`   // share of viewers that ask twice at the same moment
-	SessionAPIFraction float64        `toml:"socket"`   // share of viewers that come over the session API
-	MaxRetryAfterS     float64        `toml:"advice_s"` // the longest advice that a refusal may give
-	Gate               string         `toml:"gate"`     // "off": the limits pass all, for comparison
-	CapacityFactor     float64        `toml:"room"`     // part of their links, uplinks and places that the boxes have; 0: all
-	OnlyTenant         string         `toml:"only"`     // viewers of other brands stay away
-	DirectorSettings   map[string]any `toml:"settings"` // over the directors' own, in their form
-	NodeSettings       map[string]any `toml:"box"`      // over what all boxes share (box.Config)
+	DuplicateFraction  float64        `toml:"double"`   // share of viewers that send their first request twice
+	SessionAPIFraction float64        `toml:"socket"`   // share of viewers that use the session API
+	MaxRetryAfterS     float64        `toml:"advice_s"` // longest Retry-After of a refusal
+	Gate               string         `toml:"gate"`     // "off": admission control passes all requests, for comparison
+	CapacityFactor     float64        `toml:"room"`     // factor on the nodes' links, uplinks and session limits; 0: unchanged
+	OnlyTenant         string         `toml:"only"`     // if set, only viewers of this tenant come
+	DirectorSettings   map[string]any `toml:"settings"` // overrides of the directors' settings, under their keys
+	NodeSettings       map[string]any `toml:"box"`      // overrides of the nodes' medianode.Config
 	Troubles           []Trouble      `toml:"trouble"`
 }
 
-// overlay puts a table of the script over what stands in v.
+// applyOverrides decodes a table of the script into target; keys that the table does not have keep their values.
 func applyOverrides(target any, table map[string]any) error {
 	if len(table) == 0 {
 		return nil
@@ -43,32 +44,32 @@
 		err = toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(target)
 	}
 	if err != nil {
-		return fmt.Errorf("script: settings or box: %w", err)
+		return fmt.Errorf("script: invalid table settings or box: %w", err)
 	}
 	return nil
 }
 
-// Trouble is one thing that goes wrong.
+// Trouble is one fault of the day.
 type Trouble struct {
 	Name      string  `toml:"name"`
-	AtS       float64 `toml:"at_s"`
-	LenS      float64 `toml:"len_s"`
-	Fraction  float64 `toml:"part"` // share of boxes or directors; at least one
-	Magnitude float64 `toml:"size"`
-	Extra     float64 `toml:"extra"`
-	Targets   []int   `toml:"on"` // these, in place of a draw
+	AtS       float64 `toml:"at_s"`  // begin, since the start
+	LenS      float64 `toml:"len_s"` // length
+	Fraction  float64 `toml:"part"`  // share of media nodes or directors that are affected, at least one
+	Magnitude float64 `toml:"size"`  // strength; its meaning depends on the trouble
+	Extra     float64 `toml:"extra"` // accepted and not used
+	Targets   []int   `toml:"on"`    // numbers of the affected nodes or directors, in place of a draw
 }
 
-// played are the troubles that this version can play, and whether they fall on directors.
-var affectsDirectors = map[string]bool{"crash": false, "vanish": false, "hang": false, "fast_errors": false, "slow": false,
-	"answer_lost": false, "report_late": false, "burst": false, "balancer_crash": true, "drain": false,
-	"cold_start": false, "retry_flood": false,
-	"origin_slow": false}
+// affectsDirectors has the troubles that this version supports, and whether they affect directors rather than media
+// nodes or viewers.
+var affectsDirectors = map[string]bool{"crash": false, "vanish": false, "hang": false, "fast_errors": false,
+	"slow": false, "answer_lost": false, "report_late": false, "burst": false, "balancer_crash": true, "drain": false,
+	"cold_start": false, "retry_flood": false, "origin_slow": false}
 
-// later are recorded troubles that the form holds and this version does not play yet.
+// unsupportedTroubles are troubles that operators record and this version does not support yet.
 var unsupportedTroubles = []string{"neighbour", "hot_key", "zone_cut", "balancer_roll", "report_gap", "shared_slow"}
 
-// BuiltIn is the day that rehearse plays without a script.
+// BuiltIn is the script that is played by default.
 const BuiltIn = `# A bad day of half a minute: every trouble that this version plays, some of them together.
 seconds = 30
 rate = 30
@@ -150,7 +151,7 @@
 part = 0.13
 `
 
-// Parse reads a script; what it leaves out is as in the built-in day, but for the troubles.
+// Parse reads a script. Keys that it leaves out have the values of the built-in script; troubles have no default.
 func Parse(text string) (*Script, error) {
 	script := Script{Seconds: 30, Rate: 30, Directors: 2, Boxes: 8, Titles: 9, LifeS: 9, Seed: 1, MaxRetryAfterS: 1}
 	decoder := toml.NewDecoder(bytes.NewReader([]byte(text))).DisallowUnknownFields()
@@ -166,21 +167,24 @@
 		}
 		return nil, fmt.Errorf("script: %w", err)
 	}
-	if script.Seconds <= 0 || script.Rate <= 0 || script.Directors < 1 || script.Boxes < 3 || script.Titles < 1 || script.LifeS <= 0 {
-		return nil, errors.New("script: seconds, rate, titles, life_s must be positive, directors 1 and boxes 3 at least")
+	if script.Seconds <= 0 || script.Rate <= 0 || script.Directors < 1 || script.Boxes < 3 || script.Titles < 1 ||
+		script.LifeS <= 0 {
+		return nil, errors.New("script: seconds, rate, titles and life_s must be positive, directors at least 1 and boxes at least 3")
 	}
 	for i, trouble := range script.Troubles {
 		if _, ok := affectsDirectors[trouble.Name]; !ok {
 			if slices.Contains(unsupportedTroubles, trouble.Name) {
-				return nil, fmt.Errorf("script: trouble %d: %q is known and not played by this version", i+1, trouble.Name)
+				return nil, fmt.Errorf("script: trouble %d: %q is not supported by this version", i+1, trouble.Name)
 			}
-			return nil, fmt.Errorf("script: trouble %d: no trouble is called %q", i+1, trouble.Name)
+			return nil, fmt.Errorf("script: trouble %d: unknown name %q", i+1, trouble.Name)
 		}
 		if trouble.AtS < 0 || trouble.LenS <= 0 || trouble.Fraction < 0 || trouble.Fraction > 1 {
-			return nil, fmt.Errorf("script: trouble %d (%s): at_s 0 or more, len_s over 0, part 0 to 1", i+1, trouble.Name)
+			return nil, fmt.Errorf("script: trouble %d (%s): at_s must be at least 0, len_s positive and part from 0 to 1",
+				i+1, trouble.Name)
 		}
-		if slices.Contains([]string{"slow", "fast_errors", "report_late", "burst", "retry_flood", "origin_slow"}, trouble.Name) && trouble.Magnitude <= 0 {
-			return nil, fmt.Errorf("script: trouble %d (%s) needs a size", i+1, trouble.Name)
+		if slices.Contains([]string{"slow", "fast_errors", "report_late", "burst", "retry_flood", "origin_slow"},
+			trouble.Name) && trouble.Magnitude <= 0 {
+			return nil, fmt.Errorf("script: trouble %d (%s): size must be positive", i+1, trouble.Name)
 		}
 		limit := script.Boxes
 		if affectsDirectors[trouble.Name] {
@@ -195,6 +199,7 @@
 	return &script, nil
 }
 
+// String returns a summary in one line.
 func (s *Script) String() string {
 	var names []string
 	for _, trouble := range s.Troubles {
@@ -204,8 +209,8 @@
 		s.Boxes, s.Seed, strings.Join(names, ", "))
 }
 
-// Cut makes the day shorter or longer. Troubles that would begin after its end are left out, and none goes on
-// past it.
+// Cut sets the length of the day. Troubles that would begin after its end are removed, and the others end with it at
+// the latest.
 func (s *Script) Cut(seconds float64) {
 	s.Seconds = seconds
 	s.Troubles = slices.DeleteFunc(s.Troubles, func(t Trouble) bool { return t.AtS >= seconds })
