--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -69,7 +69,7 @@
 	err        error
 }
 
-// fetchManifest requests a manifest and waits for the answer for a little longer than the viewer's patience.
+// fetchManifest requests a manifest and waits for the answer a little longer than the viewer would.
 func fetchManifest(ctx context.Context, client *http.Client, url string, giveUp time.Duration) answer {
 	ctx, cancel := context.WithTimeout(ctx, giveUp+200*time.Millisecond)
 	defer cancel()
--- a/internal/standin/scenario/script.go
+++ b/internal/standin/scenario/script.go
@@ -151,7 +151,8 @@
 part = 0.13
 `
 
-// Parse reads a script. Keys that it leaves out have the values of the built-in script; troubles have no default.
+// Parse reads a script. A script without seconds, rate, directors, boxes, titles, life_s or seed has those of the
+// built-in script, and advice_s is 1 by default; all other keys, and the troubles, are zero or empty if left out.
 func Parse(text string) (*Script, error) {
 	script := Script{Seconds: 30, Rate: 30, Directors: 2, Boxes: 8, Titles: 9, LifeS: 9, Seed: 1, MaxRetryAfterS: 1}
 	decoder := toml.NewDecoder(bytes.NewReader([]byte(text))).DisallowUnknownFields()
