--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -1,7 +1,8 @@
-// Package player is a stand-in of a viewer: it asks for a manifest with its
-// token, plays the segments at their pace, follows the bitrate that the box
-// suggests (CMSD, CTA-5006, key mb) and comes again as viewers do. It reads
-// manifests as a plain DASH player does.
+// Package player is a stand-in (test double) of a viewer with a DASH player. It
+// requests a manifest with its session token, plays the segments in real time,
+// follows the maximum bitrate that the media node suggests (CMSD, CTA-5006, key
+// mb) and retries as viewers do. It reads manifests as a plain DASH player
+// does, and can use the session API instead of requesting the manifest.
 package player
 
 import (
@@ -21,131 +22,142 @@
 	"headmill/internal/dash"
 )
 
-// Wish is what one viewer wants to see.
-type Wish struct {
+// Request is what one viewer wants to see and how it behaves.
+type Request struct {
 	Title, Class string
-	Paid         bool
-	GiveUp       time.Duration
-	Length       time.Duration // how long it wants to watch
+	AtMostOnce   bool          // the title's class allows one set-up per token: the viewer retries a failure once
+	GiveUp       time.Duration // longest wait for a manifest
+	WatchTime    time.Duration // how long the viewer wants to watch, retries included
 	Seed         uint64
-	// Token mints a token of a new wanted session of this viewer.
+	// Token mints a session token for a new session of this viewer.
 	Token func() string
-	// Director is the base URL of a director for a try.
-	Director func(r *rand.Rand) string
-	Double   bool // it asks twice at the same moment
-	Socket   bool // it keeps a connection to the session API
-	Hammer   bool // after a refusal it comes again every 100 ms, whatever it is told
+	// Director returns the base URL of the director for the next request.
+	Director         func(rng *rand.Rand) string
+	Duplicate        bool // the first request is sent twice at the same moment
+	UseSessionAPI    bool // the viewer uses the session API and keeps the connection open
+	IgnoreRetryAfter bool // after a refusal the viewer retries after 100 ms, whatever Retry-After says
 }
 
-// Stats counts over all viewers.
+// Stats counts the events of all viewers that share it.
 type Stats struct {
-	Asked, Played, Refused, Failed, Broken, Denied, Unreachable atomic.Int64
-	Segments, Stalled                                           atomic.Int64
+	Requests    atomic.Int64 // requests for a manifest, duplicates not counted
+	Played      atomic.Int64 // answered with a manifest
+	Refused     atomic.Int64 // answered with 503
+	Failed      atomic.Int64 // answered with another 5xx, or with an invalid manifest
+	Broken      atomic.Int64 // sessions that ended before the viewer was done
+	Denied      atomic.Int64 // answered with any other status
+	Unreachable atomic.Int64 // not answered
+	Segments    atomic.Int64 // segments received
+	Stalled     atomic.Int64 // segments received later than their playing time
 }
 
-// follow is the part of viewers that keep to the advice of a refusal.
-const follow = 0.85
+// retryAfterCompliance is the share of refused viewers that wait for the time in Retry-After.
+const retryAfterCompliance = 0.85
 
-// Client is the HTTP client that viewers share: a connection each, as players have.
-func Client() *http.Client {
+// NewClient returns an HTTP client for all viewers. It opens a connection for each request, so that viewers share none.
+func NewClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 0, DisableKeepAlives: true,
 		DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext}}
 }
 
+// answer is a director's answer to a request for a session.
 type answer struct {
-	status int
-	body   []byte
-	retry  time.Duration
-	home   string // the director that answers for the token, over the session API
-	err    error
+	status     int
+	body       []byte
+	retryAfter time.Duration
+	homeURL    string // base URL of the director that is responsible for the token; session API only
+	err        error
 }
 
-func ask(ctx context.Context, c *http.Client, url string, give time.Duration) answer {
-	ctx, cancel := context.WithTimeout(ctx, give+200*time.Millisecond)
+// fetchManifest requests a manifest and waits for the answer a little longer than the viewer would.
+func fetchManifest(ctx context.Context, client *http.Client, url string, giveUp time.Duration) answer {
+	ctx, cancel := context.WithTimeout(ctx, giveUp+200*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "GET", url, nil)
 	if err != nil {
 		return answer{err: err}
 	}
-	resp, err := c.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return answer{err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
-	a := answer{status: resp.StatusCode, body: body, err: err}
-	if s, e := strconv.Atoi(resp.Header.Get("Retry-After")); e == nil {
-		a.retry = time.Duration(s) * time.Second
+	result := answer{status: resp.StatusCode, body: body, err: err}
+	if seconds, parseErr := strconv.Atoi(resp.Header.Get("Retry-After")); parseErr == nil {
+		result.retryAfter = time.Duration(seconds) * time.Second
 	}
-	return a
+	return result
 }
 
-// Watch lives through one wish.
-func Watch(ctx context.Context, c *http.Client, w Wish, st *Stats) {
-	r := rand.New(rand.NewPCG(w.Seed, 7))
-	end := time.Now().Add(w.Length)
-	tok := w.Token()
-	again := 0
+// Watch plays one viewer until it has watched, gives up, or ctx ends.
+func Watch(ctx context.Context, client *http.Client, request Request, stats *Stats) {
+	rng := rand.New(rand.NewPCG(request.Seed, 7))
+	end := time.Now().Add(request.WatchTime)
+	token := request.Token()
+	failures := 0
 	for time.Now().Before(end) && ctx.Err() == nil {
-		url := fmt.Sprintf("%s/dash/%s/manifest.mpd?token=%s", w.Director(r), w.Title, tok)
-		st.Asked.Add(1)
-		twin := make(chan struct{})
-		if w.Double {
-			w.Double = false
-			go func() { ask(ctx, c, url, w.GiveUp); close(twin) }()
+		url := fmt.Sprintf("%s/dash/%s/manifest.mpd?token=%s", request.Director(rng), request.Title, token)
+		stats.Requests.Add(1)
+		duplicateDone := make(chan struct{})
+		if request.Duplicate {
+			request.Duplicate = false
+			go func() { fetchManifest(ctx, client, url, request.GiveUp); close(duplicateDone) }()
 		} else {
-			close(twin)
+			close(duplicateDone)
 		}
-		var a answer
-		over, bye := make(chan struct{}), func() {}
-		if w.Socket {
+		var result answer
+		ended, closeSession := make(chan struct{}), func() {}
+		if request.UseSessionAPI {
 			base, _, _ := strings.Cut(url, "/dash/")
-			a, over, bye = askSocket(ctx, c, base, tok, w.GiveUp)
-			if home := a.home; home != "" {
-				a, over, bye = askSocket(ctx, c, home, tok, w.GiveUp)
-				url = home + strings.TrimPrefix(url, base)
+			result, ended, closeSession = openSession(ctx, client, base, token, request.GiveUp)
+			if homeURL := result.homeURL; homeURL != "" {
+				result, ended, closeSession = openSession(ctx, client, homeURL, token, request.GiveUp)
+				url = homeURL + strings.TrimPrefix(url, base)
 			}
 		} else {
-			a = ask(ctx, c, url, w.GiveUp)
+			result = fetchManifest(ctx, client, url, request.GiveUp)
 		}
-		<-twin
-		pause := time.Duration(700+r.IntN(1800)) * time.Millisecond
+		<-duplicateDone
+		pause := time.Duration(700+rng.IntN(1800)) * time.Millisecond
 		switch {
-		case a.err != nil:
-			st.Unreachable.Add(1)
-		case a.status == 200:
-			st.Played.Add(1)
-			p, err := dash.Parse(a.body)
+		case result.err != nil:
+			stats.Unreachable.Add(1)
+		case result.status == 200:
+			stats.Played.Add(1)
+			presentation, err := dash.Parse(result.body)
 			if err != nil {
-				st.Failed.Add(1)
+				stats.Failed.Add(1)
 				return
 			}
-			done := watch(ctx, c, url, p, end, w, st, over)
-			bye()
-			if done {
+			finished := playSegments(ctx, client, url, presentation, end, request, stats, ended)
+			closeSession()
+			if finished {
 				return
 			}
-			st.Broken.Add(1)
-			tok = w.Token() // what broke has run: a viewer that comes again wants a new session
-		case a.status == 503:
-			st.Refused.Add(1)
-			if a.retry > 0 && r.Float64() < follow {
-				pause = a.retry + time.Duration(r.IntN(300))*time.Millisecond
+			stats.Broken.Add(1)
+			// The broken session has run, so a retry needs a token for a new session.
+			token = request.Token()
+		case result.status == 503:
+			stats.Refused.Add(1)
+			if result.retryAfter > 0 && rng.Float64() < retryAfterCompliance {
+				pause = result.retryAfter + time.Duration(rng.IntN(300))*time.Millisecond
 			}
-			if w.Hammer {
+			if request.IgnoreRetryAfter {
 				pause = 100 * time.Millisecond
 			}
-		case a.status >= 500:
-			st.Failed.Add(1)
-			if again++; w.Paid && again > 1 { // it asks once more with the same token and then gives up
+		case result.status >= 500:
+			stats.Failed.Add(1)
+			// A viewer of an at-most-once title retries once with the same token and then gives up.
+			if failures++; request.AtMostOnce && failures > 1 {
 				return
 			}
 		default:
-			st.Denied.Add(1)
-			if w.Paid && (a.status == 410 || a.status == 409) {
+			stats.Denied.Add(1)
+			if request.AtMostOnce && (result.status == 410 || result.status == 409) {
 				return
 			}
-			tok = w.Token()
+			token = request.Token()
 		}
 		select {
 		case <-time.After(pause):
@@ -154,53 +166,58 @@
 	}
 }
 
-// watch plays until the end; false where the session broke.
-func watch(ctx context.Context, c *http.Client, url string, p *dash.Presentation, end time.Time, w Wish, st *Stats,
-	over chan struct{}) bool {
-	rep, kbits := len(p.Reps)-1, 0.0
+// playSegments plays a session and reports CMCD with each segment request. It
+// returns true when the viewer is done and false when the session broke: a
+// segment failed, or the director ended the session early.
+func playSegments(ctx context.Context, client *http.Client, url string, presentation *dash.Presentation,
+	end time.Time, request Request, stats *Stats, ended chan struct{}) bool {
+	rep, throughputKbps := len(presentation.Reps)-1, 0.0
 	starved := false
-	for i := 0; i < p.Segments(); i++ {
-		due := time.Now().Add(time.Duration(p.SegmentMs) * time.Millisecond)
+	for i := 0; i < presentation.Segments(); i++ {
+		due := time.Now().Add(time.Duration(presentation.SegmentMs) * time.Millisecond)
 		if !time.Now().Before(end) || ctx.Err() != nil {
 			return true
 		}
-		list := fmt.Sprintf("v=2,ts=%d,sn=%d,br=%.0f", time.Now().UnixMilli(), i, p.Reps[rep].KBps*8)
-		if kbits > 0 {
-			list += fmt.Sprintf(",mtp=%.0f", kbits)
+		cmcd := fmt.Sprintf("v=2,ts=%d,sn=%d,br=%.0f", time.Now().UnixMilli(), i, presentation.Reps[rep].KBps*8)
+		if throughputKbps > 0 {
+			cmcd += fmt.Sprintf(",mtp=%.0f", throughputKbps)
 		}
 		if starved {
-			list += ",bs"
+			cmcd += ",bs"
 		}
-		asked := time.Now()
-		mb, err := segment(ctx, c, p.Media(rep, i)+"&CMCD="+neturl.QueryEscape(list), 4*time.Duration(p.SegmentMs)*time.Millisecond)
-		kbits = p.Reps[rep].KBps * p.SegmentMs * 8 / float64(max(time.Since(asked).Milliseconds(), 1))
+		requestedAt := time.Now()
+		maxKbps, err := fetchSegment(ctx, client, presentation.Media(rep, i)+"&CMCD="+neturl.QueryEscape(cmcd),
+			4*time.Duration(presentation.SegmentMs)*time.Millisecond)
+		throughputKbps = presentation.Reps[rep].KBps * presentation.SegmentMs * 8 /
+			float64(max(time.Since(requestedAt).Milliseconds(), 1))
 		starved = false
 		if err != nil {
 			return errors.Is(err, context.Canceled) && ctx.Err() != nil
 		}
-		st.Segments.Add(1)
+		stats.Segments.Add(1)
 		if time.Now().After(due) {
-			st.Stalled.Add(1)
+			stats.Stalled.Add(1)
 			starved = true
 		}
-		if mb > 0 { // kbit/s that the box suggests at most
-			for rep > 0 && p.Reps[rep].KBps*8 > mb+1 {
+		if maxKbps > 0 {
+			for rep > 0 && presentation.Reps[rep].KBps*8 > maxKbps+1 {
 				rep--
 			}
-			for rep+1 < len(p.Reps) && p.Reps[rep+1].KBps*8 <= mb+1 {
+			for rep+1 < len(presentation.Reps) && presentation.Reps[rep+1].KBps*8 <= maxKbps+1 {
 				rep++
 			}
-			if p.Reps[len(p.Reps)-1].KBps*8 < mb-1 { // the rung went over this manifest: it reads it again
-				if a := ask(ctx, c, url, w.GiveUp); a.status == 200 {
-					if n, err := dash.Parse(a.body); err == nil && n.Base == p.Base {
-						p, rep = n, len(n.Reps)-1
+			// The suggested rate is above the manifest's highest representation: the manifest is read again.
+			if presentation.Reps[len(presentation.Reps)-1].KBps*8 < maxKbps-1 {
+				if reread := fetchManifest(ctx, client, url, request.GiveUp); reread.status == 200 {
+					if updated, err := dash.Parse(reread.body); err == nil && updated.Base == presentation.Base {
+						presentation, rep = updated, len(updated.Reps)-1
 					}
 				}
 			}
 		}
 		select {
-		case <-over: // told by the director
-			return i == p.Segments()-1
+		case <-ended: // the director has ended the session
+			return i == presentation.Segments()-1
 		case <-time.After(time.Until(due)):
 		case <-ctx.Done():
 		}
@@ -208,14 +225,15 @@
 	return true
 }
 
-func segment(ctx context.Context, c *http.Client, url string, limit time.Duration) (mb float64, err error) {
-	ctx2, cancel := context.WithTimeout(ctx, limit)
+// fetchSegment downloads a segment and returns the bitrate in kbit/s that the node suggests as the maximum; 0: none.
+func fetchSegment(ctx context.Context, client *http.Client, url string, limit time.Duration) (maxKbps float64, err error) {
+	requestCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx2, "GET", url, nil)
+	req, err := http.NewRequestWithContext(requestCtx, "GET", url, nil)
 	if err != nil {
 		return 0, err
 	}
-	resp, err := c.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return 0, err
 	}
@@ -224,12 +242,12 @@
 		return 0, err
 	}
 	if resp.StatusCode != 200 {
-		return 0, fmt.Errorf("player: segment: %s", resp.Status)
+		return 0, fmt.Errorf("player: segment request answered with %s", resp.Status)
 	}
 	for _, item := range strings.Split(resp.Header.Get("CMSD-Dynamic"), ";") {
-		if v, ok := strings.CutPrefix(strings.TrimSpace(item), "mb="); ok {
-			mb, _ = strconv.ParseFloat(v, 64)
+		if value, ok := strings.CutPrefix(strings.TrimSpace(item), "mb="); ok {
+			maxKbps, _ = strconv.ParseFloat(value, 64)
 		}
 	}
-	return mb, nil
+	return maxKbps, nil
 }
--- a/internal/standin/scenario/script.go
+++ b/internal/standin/scenario/script.go
@@ -1,6 +1,7 @@
-// Package rehearse plays a scripted bad day against real directors: it draws
-// viewers, injects the script's troubles into boxes, relays and processes, and
-// hands what the relays saw to the auditor.
+// Package scenario rehearses a scripted bad day against real directors. Its
+// input is a script in TOML. It generates viewers, injects the script's
+// troubles into media nodes, relays and processes, and returns the audit report
+// on what the relays recorded.
 package scenario
 
 import (
@@ -13,62 +14,62 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Script is a bad day. Troubles bear the names and columns under which operators record them.
+// Script describes a bad day. Troubles have the names and columns under which operators record them.
 type Script struct {
-	Seconds   float64        `toml:"seconds"`
-	Rate      float64        `toml:"rate"` // new viewers a second
-	Directors int            `toml:"directors"`
-	Boxes     int            `toml:"boxes"`
-	Titles    int            `toml:"titles"`
-	LifeS     float64        `toml:"life_s"`
-	Seed      uint64         `toml:"seed"`
-	Double    float64        `toml:"double"`   // share of viewers that ask twice at the same moment
-	Socket    float64        `toml:"socket"`   // share of viewers that come over the session API
-	AdviceS   float64        `toml:"advice_s"` // the longest advice that a refusal may give
-	Gate      string         `toml:"gate"`     // "off": the limits pass all, for comparison
-	Room      float64        `toml:"room"`     // part of their links, uplinks and places that the boxes have; 0: all
-	Only      string         `toml:"only"`     // viewers of other brands stay away
-	Settings  map[string]any `toml:"settings"` // over the directors' own, in their form
-	Box       map[string]any `toml:"box"`      // over what all boxes share (box.Config)
-	Troubles  []Trouble      `toml:"trouble"`
+	Seconds            float64        `toml:"seconds"` // length of the day
+	Rate               float64        `toml:"rate"`    // new viewers per second
+	Directors          int            `toml:"directors"`
+	Boxes              int            `toml:"boxes"` // media nodes
+	Titles             int            `toml:"titles"`
+	LifeS              float64        `toml:"life_s"` // duration of the shortest titles
+	Seed               uint64         `toml:"seed"`
+	DuplicateFraction  float64        `toml:"double"`   // share of viewers that send their first request twice
+	SessionAPIFraction float64        `toml:"socket"`   // share of viewers that use the session API
+	MaxRetryAfterS     float64        `toml:"advice_s"` // longest Retry-After of a refusal
+	Gate               string         `toml:"gate"`     // "off": admission control passes all requests, for comparison
+	CapacityFactor     float64        `toml:"room"`     // factor on the nodes' links, uplinks and session limits; 0: unchanged
+	OnlyTenant         string         `toml:"only"`     // if set, only viewers of this tenant come
+	DirectorSettings   map[string]any `toml:"settings"` // overrides of the directors' settings, under their keys
+	NodeSettings       map[string]any `toml:"box"`      // overrides of the nodes' medianode.Config
+	Troubles           []Trouble      `toml:"trouble"`
 }
 
-// overlay puts a table of the script over what stands in v.
-func overlay(v any, table map[string]any) error {
+// applyOverrides decodes a table of the script into target; keys that the table does not have keep their values.
+func applyOverrides(target any, table map[string]any) error {
 	if len(table) == 0 {
 		return nil
 	}
 	text, err := toml.Marshal(table)
 	if err == nil {
-		err = toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
+		err = toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(target)
 	}
 	if err != nil {
-		return fmt.Errorf("script: settings or box: %w", err)
+		return fmt.Errorf("script: invalid table settings or box: %w", err)
 	}
 	return nil
 }
 
-// Trouble is one thing that goes wrong.
+// Trouble is one fault of the day.
 type Trouble struct {
-	Name  string  `toml:"name"`
-	AtS   float64 `toml:"at_s"`
-	LenS  float64 `toml:"len_s"`
-	Part  float64 `toml:"part"` // share of boxes or directors; at least one
-	Size  float64 `toml:"size"`
-	Extra float64 `toml:"extra"`
-	On    []int   `toml:"on"` // these, in place of a draw
+	Name      string  `toml:"name"`
+	AtS       float64 `toml:"at_s"`  // begin, since the start
+	LenS      float64 `toml:"len_s"` // length
+	Fraction  float64 `toml:"part"`  // share of media nodes or directors that are affected, at least one
+	Magnitude float64 `toml:"size"`  // strength; its meaning depends on the trouble
+	Extra     float64 `toml:"extra"` // accepted and not used
+	Targets   []int   `toml:"on"`    // numbers of the affected nodes or directors, in place of a draw
 }
 
-// played are the troubles that this version can play, and whether they fall on directors.
-var played = map[string]bool{"crash": false, "vanish": false, "hang": false, "fast_errors": false, "slow": false,
-	"answer_lost": false, "report_late": false, "burst": false, "balancer_crash": true, "drain": false,
-	"cold_start": false, "retry_flood": false,
-	"origin_slow": false}
+// affectsDirectors has the troubles that this version supports, and whether they affect directors rather than media
+// nodes or viewers.
+var affectsDirectors = map[string]bool{"crash": false, "vanish": false, "hang": false, "fast_errors": false,
+	"slow": false, "answer_lost": false, "report_late": false, "burst": false, "balancer_crash": true, "drain": false,
+	"cold_start": false, "retry_flood": false, "origin_slow": false}
 
-// later are recorded troubles that the form holds and this version does not play yet.
-var later = []string{"neighbour", "hot_key", "zone_cut", "balancer_roll", "report_gap", "shared_slow"}
+// unsupportedTroubles are troubles that operators record and this version does not support yet.
+var unsupportedTroubles = []string{"neighbour", "hot_key", "zone_cut", "balancer_roll", "report_gap", "shared_slow"}
 
-// BuiltIn is the day that rehearse plays without a script.
+// BuiltIn is the script that is played by default.
 const BuiltIn = `# A bad day of half a minute: every trouble that this version plays, some of them together.
 seconds = 30
 rate = 30
@@ -150,62 +151,67 @@
 part = 0.13
 `
 
-// Parse reads a script; what it leaves out is as in the built-in day, but for the troubles.
+// Parse reads a script. A script without seconds, rate, directors, boxes, titles, life_s or seed has those of the
+// built-in script, and advice_s is 1 by default; all other keys, and the troubles, are zero or empty if left out.
 func Parse(text string) (*Script, error) {
-	s := Script{Seconds: 30, Rate: 30, Directors: 2, Boxes: 8, Titles: 9, LifeS: 9, Seed: 1, AdviceS: 1}
-	dec := toml.NewDecoder(bytes.NewReader([]byte(text))).DisallowUnknownFields()
-	if err := dec.Decode(&s); err != nil {
-		var strict *toml.StrictMissingError
-		var de *toml.DecodeError
+	script := Script{Seconds: 30, Rate: 30, Directors: 2, Boxes: 8, Titles: 9, LifeS: 9, Seed: 1, MaxRetryAfterS: 1}
+	decoder := toml.NewDecoder(bytes.NewReader([]byte(text))).DisallowUnknownFields()
+	if err := decoder.Decode(&script); err != nil {
+		var unknownKeys *toml.StrictMissingError
+		var syntaxErr *toml.DecodeError
 		switch {
-		case errors.As(err, &strict):
-			return nil, fmt.Errorf("script: unknown keys:\n%s", strict.String())
-		case errors.As(err, &de):
-			row, _ := de.Position()
-			return nil, fmt.Errorf("script: line %d: %s", row, de.Error())
+		case errors.As(err, &unknownKeys):
+			return nil, fmt.Errorf("script: unknown keys:\n%s", unknownKeys.String())
+		case errors.As(err, &syntaxErr):
+			row, _ := syntaxErr.Position()
+			return nil, fmt.Errorf("script: line %d: %s", row, syntaxErr.Error())
 		}
 		return nil, fmt.Errorf("script: %w", err)
 	}
-	if s.Seconds <= 0 || s.Rate <= 0 || s.Directors < 1 || s.Boxes < 3 || s.Titles < 1 || s.LifeS <= 0 {
-		return nil, errors.New("script: seconds, rate, titles, life_s must be positive, directors 1 and boxes 3 at least")
+	if script.Seconds <= 0 || script.Rate <= 0 || script.Directors < 1 || script.Boxes < 3 || script.Titles < 1 ||
+		script.LifeS <= 0 {
+		return nil, errors.New("script: seconds, rate, titles and life_s must be positive, directors at least 1 and boxes at least 3")
 	}
-	for i, t := range s.Troubles {
-		if _, ok := played[t.Name]; !ok {
-			if slices.Contains(later, t.Name) {
-				return nil, fmt.Errorf("script: trouble %d: %q is known and not played by this version", i+1, t.Name)
+	for i, trouble := range script.Troubles {
+		if _, ok := affectsDirectors[trouble.Name]; !ok {
+			if slices.Contains(unsupportedTroubles, trouble.Name) {
+				return nil, fmt.Errorf("script: trouble %d: %q is not supported by this version", i+1, trouble.Name)
 			}
-			return nil, fmt.Errorf("script: trouble %d: no trouble is called %q", i+1, t.Name)
+			return nil, fmt.Errorf("script: trouble %d: unknown name %q", i+1, trouble.Name)
 		}
-		if t.AtS < 0 || t.LenS <= 0 || t.Part < 0 || t.Part > 1 {
-			return nil, fmt.Errorf("script: trouble %d (%s): at_s 0 or more, len_s over 0, part 0 to 1", i+1, t.Name)
+		if trouble.AtS < 0 || trouble.LenS <= 0 || trouble.Fraction < 0 || trouble.Fraction > 1 {
+			return nil, fmt.Errorf("script: trouble %d (%s): at_s must be at least 0, len_s positive and part from 0 to 1",
+				i+1, trouble.Name)
 		}
-		if slices.Contains([]string{"slow", "fast_errors", "report_late", "burst", "retry_flood", "origin_slow"}, t.Name) && t.Size <= 0 {
-			return nil, fmt.Errorf("script: trouble %d (%s) needs a size", i+1, t.Name)
+		if slices.Contains([]string{"slow", "fast_errors", "report_late", "burst", "retry_flood", "origin_slow"},
+			trouble.Name) && trouble.Magnitude <= 0 {
+			return nil, fmt.Errorf("script: trouble %d (%s): size must be positive", i+1, trouble.Name)
 		}
-		most := s.Boxes
-		if played[t.Name] {
-			most = s.Directors
+		limit := script.Boxes
+		if affectsDirectors[trouble.Name] {
+			limit = script.Directors
 		}
-		for _, n := range t.On {
-			if n < 0 || n >= most {
-				return nil, fmt.Errorf("script: trouble %d (%s): on has %d, there are %d", i+1, t.Name, n, most)
+		for _, target := range trouble.Targets {
+			if target < 0 || target >= limit {
+				return nil, fmt.Errorf("script: trouble %d (%s): on has %d, there are %d", i+1, trouble.Name, target, limit)
 			}
 		}
 	}
-	return &s, nil
+	return &script, nil
 }
 
+// String returns a summary in one line.
 func (s *Script) String() string {
 	var names []string
-	for _, t := range s.Troubles {
-		names = append(names, t.Name)
+	for _, trouble := range s.Troubles {
+		names = append(names, trouble.Name)
 	}
 	return fmt.Sprintf("%.0f s, %.0f viewers/s, %d directors, %d boxes, seed %d: %s", s.Seconds, s.Rate, s.Directors,
 		s.Boxes, s.Seed, strings.Join(names, ", "))
 }
 
-// Cut makes the day shorter or longer. Troubles that would begin after its end are left out, and none goes on
-// past it.
+// Cut sets the length of the day. Troubles that would begin after its end are removed, and the others end with it at
+// the latest.
 func (s *Script) Cut(seconds float64) {
 	s.Seconds = seconds
 	s.Troubles = slices.DeleteFunc(s.Troubles, func(t Trouble) bool { return t.AtS >= seconds })
