--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -7,49 +7,51 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler owns a connection. Calls come on the loop's goroutine.
+// Handler receives a connection's events. Its methods are called on the loop's goroutine.
 type Handler interface {
-	// Connected tells that a dialled connection stands. One that fails is told by Closed alone.
+	// Connected is called when a dialled connection is established. If connecting fails, only Closed is called.
 	Connected(c *Conn)
-	// Data brings bytes as they came, in any split; b is only valid during the call.
+	// Data delivers received bytes, split at arbitrary points; b is only valid during the call.
 	Data(c *Conn, b []byte)
-	// Drained tells that all that was written has left for the kernel.
+	// Drained is called when the kernel has taken all buffered output.
 	Drained(c *Conn)
-	// Closed is the last call for c, exactly once. A nil err is the peer's orderly end.
+	// Closed is the last call for c and is made exactly once. err is nil after an orderly end of stream and after a
+	// close without an error.
 	Closed(c *Conn, err error)
 }
 
 type connState uint8
 
 const (
-	dialling connState = iota
-	open
-	closed
+	stateConnecting connState = iota
+	stateOpen
+	stateClosed
 )
 
-// Conn is one stream socket. An idle one holds no buffer.
+// Conn is a stream socket. An idle connection holds no buffer.
 type Conn struct {
-	l       *Loop
-	h       Handler
-	cause   error
-	peer    unix.Sockaddr
-	out     []byte
-	written int64
-	limit   int
-	fd      int
-	events  uint32
-	state   connState
-	paused  bool
-	ending  bool // close once out has left
+	loop            *Loop
+	handler         Handler
+	closeErr        error
+	peer            unix.Sockaddr
+	outBuf          []byte
+	written         int64
+	outLimit        int
+	fd              int
+	interest        uint32
+	state           connState
+	readPaused      bool
+	closeAfterFlush bool // close once outBuf has been sent
 }
 
-// ErrConnect wraps the reason why a dialled connection never stood.
+// ErrConnectTimeout is the error of a dialled connection that was not established; it wraps the reason where the kernel
+// gives one.
 var ErrConnectTimeout = errors.New("loop: connect failed")
 
-// Dial starts to connect to a loopback address. The result is told to h by Connected or Closed, never during
-// this call.
+// Dial starts connecting to an address that the loop permits. The result is reported to h by Connected or Closed, never
+// during this call.
 func (l *Loop) Dial(addr string, h Handler) (*Conn, error) {
-	sa, err := l.local(addr)
+	sa, err := l.checkAddr(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -58,14 +60,14 @@
 		return nil, fmt.Errorf("%w: socket: %w", ErrConnectTimeout, err)
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &Conn{l: l, h: h, fd: fd, peer: sa}
+	c := &Conn{loop: l, handler: h, fd: fd, peer: sa}
 	err = unix.Connect(fd, sa)
-	c.events = unix.EPOLLOUT
-	if cerr := l.ctl(unix.EPOLL_CTL_ADD, fd, c.events); cerr != nil {
+	c.interest = unix.EPOLLOUT
+	if cerr := l.epollCtl(unix.EPOLL_CTL_ADD, fd, c.interest); cerr != nil {
 		unix.Close(fd)
 		return nil, cerr
 	}
-	l.slots[fd] = c
+	l.conns[fd] = c
 	if err != nil && err != unix.EINPROGRESS {
 		c.Close(fmt.Errorf("%w: %w", ErrConnectTimeout, err))
 	}
@@ -73,67 +75,69 @@
 }
 
 func (c *Conn) register() {
-	c.events = unix.EPOLLIN | unix.EPOLLRDHUP
-	if c.paused {
-		c.events = unix.EPOLLRDHUP
+	c.interest = unix.EPOLLIN | unix.EPOLLRDHUP
+	if c.readPaused {
+		c.interest = unix.EPOLLRDHUP
 	}
-	if len(c.out) > 0 {
-		c.events |= unix.EPOLLOUT
+	if len(c.outBuf) > 0 {
+		c.interest |= unix.EPOLLOUT
 	}
-	c.l.slots[c.fd] = c
-	if err := c.l.ctl(unix.EPOLL_CTL_ADD, c.fd, c.events); err != nil {
+	c.loop.conns[c.fd] = c
+	if err := c.loop.epollCtl(unix.EPOLL_CTL_ADD, c.fd, c.interest); err != nil {
 		c.Close(err)
 	}
 }
 
-func (c *Conn) want() {
-	if c.state != open || c.fd < 0 || c.l.slots[c.fd] != c {
+func (c *Conn) updateInterest() {
+	if c.state != stateOpen || c.fd < 0 || c.loop.conns[c.fd] != c {
 		return
 	}
 	var ev uint32
-	if !c.paused {
+	if !c.readPaused {
 		ev |= unix.EPOLLIN | unix.EPOLLRDHUP
 	}
-	if len(c.out) > 0 {
+	if len(c.outBuf) > 0 {
 		ev |= unix.EPOLLOUT
 	}
-	if ev != c.events {
-		c.events = ev
-		if err := c.l.ctl(unix.EPOLL_CTL_MOD, c.fd, ev); err != nil {
+	if ev != c.interest {
+		c.interest = ev
+		if err := c.loop.epollCtl(unix.EPOLL_CTL_MOD, c.fd, ev); err != nil {
 			c.Close(err)
 		}
 	}
 }
 
-// SetHandler hands the connection to another owner, as at a change of protocol.
-func (c *Conn) SetHandler(h Handler) { c.h = h }
+// SetHandler replaces the connection's handler, for instance after a protocol upgrade.
+func (c *Conn) SetHandler(h Handler) { c.handler = h }
 
-// Open tells whether bytes can still be written.
-func (c *Conn) Open() bool { return c.state == open && !c.ending }
+// Open reports whether the connection accepts writes.
+func (c *Conn) Open() bool { return c.state == stateOpen && !c.closeAfterFlush }
 
-// Written counts the bytes that the kernel has taken since the connection stood: the proof for "no byte left".
+// Written returns the number of bytes that the kernel has taken since the connection was established. Zero proves that
+// no byte was sent.
 func (c *Conn) Written() int64 { return c.written }
 
-// Pending counts the bytes that wait for the peer to read.
-func (c *Conn) Pending() int { return len(c.out) }
+// Pending returns the number of output bytes that the kernel has not taken yet.
+func (c *Conn) Pending() int { return len(c.outBuf) }
 
-// SetLimit bounds the bytes that may wait; over it the connection is cut with ErrSlowReader. 0 means no bound.
-func (c *Conn) SetLimit(n int) { c.limit = n }
+// SetLimit bounds the buffered output in bytes; beyond it the connection is closed with ErrSlowReader. 0 means no bound.
+func (c *Conn) SetLimit(n int) { c.outLimit = n }
 
-// Pause stops reading, for a peer that sends more than is wanted at present; false goes on.
+// Pause stops reading, to apply back-pressure to a peer that sends faster than its data is processed; Pause(false)
+// resumes it.
 func (c *Conn) Pause(on bool) {
-	if c.paused != on {
-		c.paused = on
-		c.want()
+	if c.readPaused != on {
+		c.readPaused = on
+		c.updateInterest()
 	}
 }
 
-// Write hands b to the kernel as far as it takes it and keeps a copy of the rest. Errors come by Closed.
+// Write sends as much of b as the kernel takes and buffers a copy of the rest. Errors are reported by Closed.
 func (c *Conn) Write(b []byte) {
-	if c.state != open || c.ending {
+	if c.state != stateOpen || c.closeAfterFlush {
 		return
 	}
-	if len(c.out) == 0 {
+	if len(c.outBuf) == 0 {
 		n, err := c.send(b)
 		if err != nil {
 			c.Close(err)
@@ -144,12 +148,12 @@
 	if len(b) == 0 {
 		return
 	}
-	if c.limit > 0 && len(c.out)+len(b) > c.limit {
+	if c.outLimit > 0 && len(c.outBuf)+len(b) > c.outLimit {
 		c.Close(ErrSlowReader)
 		return
 	}
-	c.out = append(c.out, b...)
-	c.want()
+	c.outBuf = append(c.outBuf, b...)
+	c.updateInterest()
 }
 
 func (c *Conn) send(b []byte) (int, error) {
@@ -171,106 +175,107 @@
 	return sent, nil
 }
 
-// End closes once all that waits has left. What the peer still sends is read and dropped for a bounded time after
-// that: a socket that is closed with bytes unread resets the connection, and the peer may lose the answer that said
-// why (RFC 9112 section 9.6; RFC 6455 section 7.1.1; nginx calls it a lingering close).
+// CloseWrite closes the connection once all buffered output has been sent. What the peer still sends is then read and
+// discarded for a bounded time: closing a socket with unread input resets the connection, and the peer may lose the
+// response that explains the close (RFC 9112 section 9.6; RFC 6455 section 7.1.1; nginx calls it a lingering close).
 func (c *Conn) CloseWrite() {
-	if c.state == open && len(c.out) > 0 {
-		c.ending = true
+	if c.state == stateOpen && len(c.outBuf) > 0 {
+		c.closeAfterFlush = true
 		return
 	}
-	c.finish()
+	c.closeGracefully()
 }
 
-// finish closes the writing side and hands the descriptor to the loop's lingerers. For the owner the connection is
+// closeGracefully shuts down the writing side and starts lingering on the descriptor. For the owner the connection is
 // closed.
-func (c *Conn) finish() {
-	if c.state != open || len(c.l.lingers) >= c.l.lingerMost || unix.Shutdown(c.fd, unix.SHUT_WR) != nil {
+func (c *Conn) closeGracefully() {
+	if c.state != stateOpen || len(c.loop.lingering) >= c.loop.maxLingering || unix.Shutdown(c.fd, unix.SHUT_WR) != nil {
 		c.Close(nil)
 		return
 	}
 	fd := c.fd
-	c.state, c.cause = closed, nil
-	if c.l.slots[fd] == c {
-		delete(c.l.slots, fd)
-	} else if c.l.ctl(unix.EPOLL_CTL_ADD, fd, 0) != nil { // ended by its owner before it was registered
+	c.state, c.closeErr = stateClosed, nil
+	if c.loop.conns[fd] == c {
+		delete(c.loop.conns, fd)
+	} else if c.loop.epollCtl(unix.EPOLL_CTL_ADD, fd, 0) != nil { // closed by its owner before it was registered
 		unix.Close(fd)
 		fd = -1
 	}
 	c.fd = -1
-	if c.h != nil {
-		c.l.dead = append(c.l.dead, c)
+	if c.handler != nil {
+		c.loop.closedConns = append(c.loop.closedConns, c)
 	}
 	if fd >= 0 {
-		c.l.linger(fd)
+		c.loop.startLingering(fd)
 	}
 }
 
-// linger is one closed connection whose peer may still send.
-type linger struct {
-	timer *Timer
-	left  int // bytes that are dropped at most
+// lingeringConn is a closed connection whose peer may still be sending.
+type lingeringConn struct {
+	timer     *Timer
+	bytesLeft int // input bytes still to be discarded before the descriptor is closed
 }
 
-func (l *Loop) linger(fd int) {
-	g := &linger{left: lingerBytes}
-	g.timer = l.After(lingerMs, func() { l.letGo(fd) })
-	l.lingers[fd] = g
-	if l.ctl(unix.EPOLL_CTL_MOD, fd, unix.EPOLLIN|unix.EPOLLRDHUP) != nil {
-		l.letGo(fd)
-	} // what is there is read in the next round: the owner may still be in the middle of the loop's buffer
+func (l *Loop) startLingering(fd int) {
+	lc := &lingeringConn{bytesLeft: maxLingerBytes}
+	lc.timer = l.After(lingerTimeoutMs, func() { l.stopLingering(fd) })
+	l.lingering[fd] = lc
+	if l.epollCtl(unix.EPOLL_CTL_MOD, fd, unix.EPOLLIN|unix.EPOLLRDHUP) != nil {
+		l.stopLingering(fd)
+	} // input is discarded from the next iteration on: the owner may still be using the loop's read buffer
 }
 
-// drop reads what a lingerer's peer sends, until its end.
-func (l *Loop) drop(fd int) {
-	g := l.lingers[fd]
-	for range readsMax {
-		n, err := unix.Read(fd, l.buf)
+// discardInput reads and discards what the peer of a lingering connection sends, until end of stream or the byte limit.
+func (l *Loop) discardInput(fd int) {
+	lc := l.lingering[fd]
+	for range maxReadsPerEvent {
+		n, err := unix.Read(fd, l.readBuf)
 		switch {
 		case err == unix.EINTR:
 			continue
 		case err == unix.EAGAIN:
 			return
 		case err != nil || n == 0:
-			l.letGo(fd)
+			l.stopLingering(fd)
 			return
 		}
-		if g.left -= n; g.left <= 0 {
-			l.letGo(fd)
+		if lc.bytesLeft -= n; lc.bytesLeft <= 0 {
+			l.stopLingering(fd)
 			return
 		}
 	}
 }
 
-func (l *Loop) letGo(fd int) {
-	if g := l.lingers[fd]; g != nil {
-		delete(l.lingers, fd)
-		l.Cancel(g.timer)
+func (l *Loop) stopLingering(fd int) {
+	if lc := l.lingering[fd]; lc != nil {
+		delete(l.lingering, fd)
+		l.Cancel(lc.timer)
 		unix.Close(fd)
 	}
 }
 
-// Close ends the connection at once; Closed follows with err after the present round.
+// Close closes the connection at once; Closed is called with err at the end of the current iteration. Only the first
+// call has an effect.
 func (c *Conn) Close(err error) {
-	if c.state == closed {
+	if c.state == stateClosed {
 		return
 	}
-	if err != nil && len(c.out) > 0 { // cut, not ended: the kernel must not keep what the peer does not read
+	if err != nil && len(c.outBuf) > 0 { // an abort: reset, so that the kernel does not keep output that the peer does not read
 		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
-	c.state, c.cause, c.out = closed, err, nil
-	if c.l.slots[c.fd] == c {
-		delete(c.l.slots, c.fd)
+	c.state, c.closeErr, c.outBuf = stateClosed, err, nil
+	if c.loop.conns[c.fd] == c {
+		delete(c.loop.conns, c.fd)
 	}
 	unix.Close(c.fd)
 	c.fd = -1
-	if c.h != nil {
-		c.l.dead = append(c.l.dead, c)
+	if c.handler != nil {
+		c.loop.closedConns = append(c.loop.closedConns, c)
 	}
 }
 
-func (c *Conn) ready(ev uint32) {
-	if c.state == dialling {
+func (c *Conn) handleEvents(ev uint32) {
+	if c.state == stateConnecting {
 		code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		if err == nil && code != 0 {
 			err = unix.Errno(code)
@@ -279,40 +284,40 @@
 			c.Close(fmt.Errorf("%w: %w", ErrConnectTimeout, err))
 			return
 		}
-		c.state = open
-		c.want()
-		c.h.Connected(c)
+		c.state = stateOpen
+		c.updateInterest()
+		c.handler.Connected(c)
 		return
 	}
 	if ev&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
 		c.read(ev)
 	}
-	if c.state == open && ev&unix.EPOLLOUT != 0 {
-		n, err := c.send(c.out)
+	if c.state == stateOpen && ev&unix.EPOLLOUT != 0 {
+		n, err := c.send(c.outBuf)
 		if err != nil {
 			c.Close(err)
 			return
 		}
-		if n < len(c.out) {
-			c.out = c.out[:copy(c.out, c.out[n:])]
+		if n < len(c.outBuf) {
+			c.outBuf = c.outBuf[:copy(c.outBuf, c.outBuf[n:])]
 			return
 		}
-		c.out = nil
-		if c.ending {
-			c.finish()
+		c.outBuf = nil
+		if c.closeAfterFlush {
+			c.closeGracefully()
 			return
 		}
-		c.want()
-		c.h.Drained(c)
+		c.updateInterest()
+		c.handler.Drained(c)
 	}
 }
 
 func (c *Conn) read(ev uint32) {
-	for range readsMax {
-		if c.paused && ev&(unix.EPOLLHUP|unix.EPOLLERR) == 0 {
+	for range maxReadsPerEvent {
+		if c.readPaused && ev&(unix.EPOLLHUP|unix.EPOLLERR) == 0 {
 			return
 		}
-		n, err := unix.Read(c.fd, c.l.buf)
+		n, err := unix.Read(c.fd, c.loop.readBuf)
 		switch {
 		case err == unix.EINTR:
 			continue
@@ -321,24 +326,24 @@
 		case err != nil:
 			c.Close(err)
 			return
-		case n == 0: // a half-closed peer is taken as gone, as nginx does: no viewer waits there any more
+		case n == 0: // a half-closed peer is treated as disconnected, as nginx does: no viewer waits there any more
 			c.Close(nil)
 			return
 		}
-		c.h.Data(c, c.l.buf[:n])
-		if c.state != open || n < len(c.l.buf) && ev&unix.EPOLLRDHUP == 0 {
+		c.handler.Data(c, c.loop.readBuf[:n])
+		if c.state != stateOpen || n < len(c.loop.readBuf) && ev&unix.EPOLLRDHUP == 0 {
 			return
-		} // the peer's end came with its last bytes: both are told in one round
+		} // the peer's end of stream arrived with its last bytes: both are reported in one iteration
 	}
 }
 
-// Refused tells whether err is the peer's machine saying that nobody listens there.
+// IsConnRefused reports whether err means that nothing listens at the peer's address.
 func IsConnRefused(err error) bool { return errors.Is(err, unix.ECONNREFUSED) }
 
-// Ended tells whether the peer has closed its side and all that it sent was read: its end may have reached the kernel and
-// not yet the loop.
+// WriteClosed reports whether the peer has closed its side and all that it sent has been read, or the connection is no
+// longer open. It queries the kernel, which may know of the end of stream before the loop has handled it.
 func (c *Conn) WriteClosed() bool {
-	if c.state != open {
+	if c.state != stateOpen {
 		return true
 	}
 	var b [1]byte
@@ -346,8 +351,8 @@
 	return err == nil && n == 0 || err != nil && err != unix.EAGAIN && err != unix.EINTR
 }
 
-// Quiet tells whether an idle connection is still usable: open, nothing unread, no end of stream. It closes
-// the gap in which a peer's close has reached the kernel and not yet the loop.
+// Idle reports whether an idle connection can be reused: open, no unread input, no end of stream. It queries the
+// kernel, so that a close by the peer that the loop has not handled yet is noticed too.
 func (c *Conn) Idle() bool {
 	if !c.Open() {
 		return false
@@ -357,7 +362,8 @@
 	return err == unix.EAGAIN
 }
 
-// Standing tells whether a dialled connection is up for the machine; the loop may not have seen it yet.
+// Established reports whether the kernel has established a dialled connection; the loop may not have handled that
+// event yet.
 func (c *Conn) Established() bool {
 	_, err := unix.Getpeername(c.fd)
 	return err == nil
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,11 +1,24 @@
-// Package loop is the one event loop of a director: epoll, timers, wake-ups
-// and stream sockets on the loopback interface. It is the only package with
-// system calls. It owns file descriptors and the bytes that wait to be
-// written; it must not know what the bytes mean and decides nothing.
+// Package loop implements a director's single event loop: epoll, timers,
+// wake-ups, stream sockets and connected datagram sockets. Sockets are
+// restricted to the loopback interface and, where SetLocalAddr is called, the
+// director's own private network. It is the only package with system calls. It
+// owns file descriptors and buffered output; it does not interpret the bytes
+// and contains no application logic.
 //
-// Everything but Post and Stop runs on the goroutine that called Run, so that
+// Everything but Post and Stop runs on the goroutine that called Run, so
 // nothing else in a director needs a lock. The design follows nginx's event
 // core: level-triggered readiness, one shared read buffer, timers in a heap.
+//
+// A stream connection is in one of three states:
+//
+//	state       meaning                          events
+//	connecting  Dial has been called             writable: open, or closed on a connect error
+//	open        data flows in both directions    readable: Handler.Data; output flushed: Handler.Drained;
+//	                                             end of stream, error, Close, CloseWrite (once flushed): closed
+//	closed      the owner no longer has it       Handler.Closed is called once, at the end of the iteration
+//
+// After CloseWrite the loop keeps the descriptor for a bounded time and
+// discards what the peer still sends.
 package loop
 
 import (
@@ -21,49 +34,49 @@
 )
 
 const (
-	readSize    = 64 << 10
-	waitBatch   = 256
-	acceptMax   = 64      // connections taken at one readiness, so that a rush of them does not starve the rest
-	lingerMs    = 2000    // for which a closed connection's peer is read from at most,
-	lingerBytes = 1 << 20 // how much is dropped at most,
-	lingerMost  = 1024    // and how many there are at most; further ones are closed at once
-	readsMax    = 4       // reads of one connection at one readiness, for the same reason
+	readBufferBytes     = 64 << 10
+	maxEpollEvents      = 256
+	maxAcceptsPerEvent  = 64      // connections accepted per readiness event, so that a burst does not starve other sockets
+	maxReadsPerEvent    = 4       // reads of one connection per readiness event, for the same reason
+	lingerTimeoutMs     = 2000    // longest time that input is discarded after a connection was closed
+	maxLingerBytes      = 1 << 20 // most input that is discarded per lingering connection
+	defaultMaxLingering = 1024    // most lingering connections; further ones are closed at once
 )
 
-// ErrSlowReader is the cause of a cut where a peer let more wait than its bound.
-var ErrSlowReader = errors.New("loop: peer does not read; output over its bound")
+// ErrSlowReader is passed to Closed when buffered output exceeds the connection's limit.
+var ErrSlowReader = errors.New("loop: peer reads too slowly; buffered output exceeds the limit")
 
-// ErrIdle is the cause of a cut by the owner for idleness or lateness.
-var ErrClosedByOwner = errors.New("loop: cut by its owner")
+// ErrClosedByOwner is the error with which an owner closes a connection that is idle or late.
+var ErrClosedByOwner = errors.New("loop: connection closed by its owner")
 
-// ErrStopped is the cause given to connections that are open when the loop ends.
+// ErrStopped is passed to Closed for connections that are open when the loop ends.
 var ErrStopped = errors.New("loop: stopped")
 
-// Loop is one epoll instance with its timers.
+// Loop is one epoll instance with its timers and sockets.
 type Loop struct {
-	ep, wake   int
-	start      time.Time
-	now        float64
-	timers     timerHeap
-	seq        uint64
-	slots      map[int]*Conn
-	lists      map[int]*Listener
-	packets    map[int]*PacketConn
-	buf        []byte
-	events     []unix.EpollEvent
-	lingers    map[int]*linger
-	lingerMost int
-	dead       []*Conn // closed in this round: told after the round's events
-	worst      float64
-	round      func()
-	home       netip.Prefix // addresses beside the loopback interface's that are served
-
-	mu     sync.Mutex
-	posted []func()
-	quit   bool
+	epollFD, wakeFD int
+	start           time.Time
+	now             float64 // ms since start, updated once per iteration
+	timers          timerHeap
+	timerSeq        uint64
+	conns           map[int]*Conn
+	listeners       map[int]*Listener
+	packetConns     map[int]*PacketConn
+	readBuf         []byte
+	events          []unix.EpollEvent
+	lingering       map[int]*lingeringConn
+	maxLingering    int
+	closedConns     []*Conn // closed in this iteration; Closed is called after the iteration's events
+	maxLag          float64 // ms; longest iteration since MaxLag was last called
+	onRound         func()
+	localNetwork    netip.Prefix // permitted addresses besides the loopback interface's
+
+	mu            sync.Mutex
+	posted        []func()
+	stopRequested bool
 }
 
-// New makes a loop; Close frees it if Run is never called.
+// New returns a loop; the caller must call Run, or Close if Run is never called.
 func New() (*Loop, error) {
 	ep, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -74,79 +87,81 @@
 		unix.Close(ep)
 		return nil, fmt.Errorf("loop: eventfd: %w", err)
 	}
-	l := &Loop{ep: ep, wake: wake, start: time.Now(), slots: map[int]*Conn{}, lists: map[int]*Listener{}, lingers: map[int]*linger{},
-		packets: map[int]*PacketConn{}, lingerMost: lingerMost,
-		buf: make([]byte, readSize), events: make([]unix.EpollEvent, waitBatch)}
-	if err := l.ctl(unix.EPOLL_CTL_ADD, wake, unix.EPOLLIN); err != nil {
+	l := &Loop{epollFD: ep, wakeFD: wake, start: time.Now(), conns: map[int]*Conn{},
+		listeners: map[int]*Listener{}, lingering: map[int]*lingeringConn{},
+		packetConns: map[int]*PacketConn{}, maxLingering: defaultMaxLingering,
+		readBuf: make([]byte, readBufferBytes), events: make([]unix.EpollEvent, maxEpollEvents)}
+	if err := l.epollCtl(unix.EPOLL_CTL_ADD, wake, unix.EPOLLIN); err != nil {
 		return nil, err
 	}
-	l.tick()
+	l.updateNow()
 	return l, nil
 }
 
-func (l *Loop) ctl(op, fd int, events uint32) error {
-	if err := unix.EpollCtl(l.ep, op, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)}); err != nil {
+func (l *Loop) epollCtl(op, fd int, events uint32) error {
+	if err := unix.EpollCtl(l.epollFD, op, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)}); err != nil {
 		return fmt.Errorf("loop: epoll_ctl of %d: %w", fd, err)
 	}
 	return nil
 }
 
-func (l *Loop) tick() { l.now = float64(time.Since(l.start).Microseconds()) / 1000 }
+func (l *Loop) updateNow() { l.now = float64(time.Since(l.start).Microseconds()) / 1000 }
 
-// Now is the time of the present round in ms since New; it never runs backwards.
+// Now returns the time of the current iteration in ms since New; it is monotonic.
 func (l *Loop) Now() float64 { return l.now }
 
-// WorstLag is the longest round, in ms, since it was last asked.
+// MaxLag returns the duration of the longest iteration, in ms, since its previous call.
 func (l *Loop) MaxLag() float64 {
-	w := l.worst
-	l.worst = 0
-	return w
+	lag := l.maxLag
+	l.maxLag = 0
+	return lag
 }
 
-// Post hands f to the loop's goroutine; it is the only door from other goroutines.
+// Post queues f to run on the loop's goroutine. It is the only way for other goroutines to reach the loop's state.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
-	first := len(l.posted) == 0
+	wasEmpty := len(l.posted) == 0
 	l.posted = append(l.posted, f)
 	l.mu.Unlock()
-	if first { // else the wake-up is already due
-		l.poke()
+	if wasEmpty { // otherwise a wake-up is already pending
+		l.wakeUp()
 	}
 }
 
-// Stop ends Run after the present round.
+// Stop makes Run return after the current iteration. It may be called from any goroutine.
 func (l *Loop) Stop() {
 	l.mu.Lock()
-	l.quit = true
+	l.stopRequested = true
 	l.mu.Unlock()
-	l.poke()
+	l.wakeUp()
 }
 
-func (l *Loop) poke() {
+func (l *Loop) wakeUp() {
 	one := [8]byte{1}
-	unix.Write(l.wake, one[:]) // EAGAIN means that a wake-up is already due
+	unix.Write(l.wakeFD, one[:]) // EAGAIN means that a wake-up is already pending
 }
 
-// SetLingerMost bounds the closed connections whose peers are still read from; further ones are closed at once. For a
-// program with few descriptors.
-func (l *Loop) SetMaxLingering(n int) { l.lingerMost = n }
+// SetMaxLingering limits the number of lingering connections; connections beyond it are closed at once. It is meant for
+// programs with few file descriptors.
+func (l *Loop) SetMaxLingering(n int) { l.maxLingering = n }
 
-// OnRound sets the call at the end of each round, after its events and timers.
-func (l *Loop) OnRound(f func()) { l.round = f }
+// OnRound sets the function called at the end of each iteration, after its events and timers.
+func (l *Loop) OnRound(f func()) { l.onRound = f }
 
-// Timer is one pending call.
+// Timer is a scheduled call.
 type Timer struct {
-	at    float64
-	seq   uint64
-	index int
-	f     func()
+	dueMs    float64
+	seq      uint64
+	index    int
+	callback func()
 }
 
+// timerHeap orders timers by due time, and by creation where the due times are equal.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int { return len(h) }
 func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+	return h[i].dueMs < h[j].dueMs || h[i].dueMs == h[j].dueMs && h[i].seq < h[j].seq
 }
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].index, h[j].index = i, j }
 func (h *timerHeap) Push(x any)   { t := x.(*Timer); t.index = len(*h); *h = append(*h, t) }
@@ -159,18 +174,18 @@
 	return t
 }
 
-// At calls f in the first round at or after the time at (ms, as Now).
+// At schedules f for the first iteration at or after the time at, in ms on the clock of Now.
 func (l *Loop) At(at float64, f func()) *Timer {
-	l.seq++
-	t := &Timer{at: at, seq: l.seq, f: f}
+	l.timerSeq++
+	t := &Timer{dueMs: at, seq: l.timerSeq, callback: f}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// After calls f in ms from now.
+// After schedules f for ms milliseconds after Now.
 func (l *Loop) After(ms float64, f func()) *Timer { return l.At(l.now+ms, f) }
 
-// Cancel takes a timer back; nil and fired timers are passed over.
+// Cancel removes a timer; it does nothing for nil and for timers that have fired.
 func (l *Loop) Cancel(t *Timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
@@ -178,52 +193,52 @@
 	}
 }
 
-// Run serves events until Stop. It closes all that is open before it returns.
+// Run handles events until Stop is called. It closes all sockets before it returns.
 func (l *Loop) Run() error {
-	defer l.close()
+	defer l.closeAll()
 	for {
 		wait := -1
 		if len(l.timers) > 0 {
-			l.tick()
-			if d := l.timers[0].at - l.now; d <= 0 {
+			l.updateNow()
+			if d := l.timers[0].dueMs - l.now; d <= 0 {
 				wait = 0
 			} else {
 				wait = int(min(d+0.999, 1e9))
 			}
 		}
-		if len(l.dead) > 0 {
+		if len(l.closedConns) > 0 {
 			wait = 0
 		}
-		n, err := unix.EpollWait(l.ep, l.events, wait)
+		n, err := unix.EpollWait(l.epollFD, l.events, wait)
 		if err != nil && err != unix.EINTR {
 			return fmt.Errorf("loop: epoll_wait: %w", err)
 		}
-		l.tick()
-		began := l.now
+		l.updateNow()
+		roundStart := l.now
 		for i := range max(n, 0) {
-			l.ready(int(l.events[i].Fd), l.events[i].Events)
+			l.dispatch(int(l.events[i].Fd), l.events[i].Events)
 		}
-		for len(l.timers) > 0 && l.timers[0].at <= l.now {
-			heap.Pop(&l.timers).(*Timer).f()
+		for len(l.timers) > 0 && l.timers[0].dueMs <= l.now {
+			heap.Pop(&l.timers).(*Timer).callback()
 		}
-		l.bury()
-		if l.round != nil {
-			l.round()
+		l.notifyClosed()
+		if l.onRound != nil {
+			l.onRound()
 		}
 		l.mu.Lock()
-		quit := l.quit
+		stop := l.stopRequested
 		l.mu.Unlock()
-		if quit {
+		if stop {
 			return nil
 		}
-		l.tick()
-		l.worst = max(l.worst, l.now-began)
+		l.updateNow()
+		l.maxLag = max(l.maxLag, l.now-roundStart)
 	}
 }
 
-func (l *Loop) ready(fd int, events uint32) {
+func (l *Loop) dispatch(fd int, events uint32) {
 	switch {
-	case fd == l.wake:
+	case fd == l.wakeFD:
 		var b [8]byte
 		unix.Read(fd, b[:])
 		l.mu.Lock()
@@ -233,92 +248,92 @@
 		for _, f := range calls {
 			f()
 		}
-	case l.lists[fd] != nil:
-		l.lists[fd].accept()
-	case l.slots[fd] != nil:
-		l.slots[fd].ready(events)
-	case l.packets[fd] != nil:
-		l.packets[fd].ready()
-	case l.lingers[fd] != nil:
-		l.drop(fd)
+	case l.listeners[fd] != nil:
+		l.listeners[fd].acceptPending()
+	case l.conns[fd] != nil:
+		l.conns[fd].handleEvents(events)
+	case l.packetConns[fd] != nil:
+		l.packetConns[fd].handleReadable()
+	case l.lingering[fd] != nil:
+		l.discardInput(fd)
 	}
 }
 
-// bury tells owners of connections that closed in this round. It runs after the round's events, so that no
-// owner is entered again in the middle of its own call.
-func (l *Loop) bury() {
-	for len(l.dead) > 0 {
-		dead := l.dead
-		l.dead = nil
-		for _, c := range dead {
-			c.h.Closed(c, c.cause)
+// notifyClosed calls Closed for the connections that closed in this iteration. It runs after the iteration's events so
+// that a handler is never re-entered from within one of its own calls.
+func (l *Loop) notifyClosed() {
+	for len(l.closedConns) > 0 {
+		conns := l.closedConns
+		l.closedConns = nil
+		for _, c := range conns {
+			c.handler.Closed(c, c.closeErr)
 		}
 	}
 }
 
-func (l *Loop) close() {
-	for _, s := range l.lists {
+func (l *Loop) closeAll() {
+	for _, s := range l.listeners {
 		s.Close()
 	}
-	for _, c := range l.slots {
+	for _, c := range l.conns {
 		c.Close(ErrStopped)
 	}
-	l.bury()
-	for _, p := range l.packets {
+	l.notifyClosed()
+	for _, p := range l.packetConns {
 		p.Close()
 	}
-	for fd := range l.lingers {
-		l.letGo(fd)
+	for fd := range l.lingering {
+		l.stopLingering(fd)
 	}
-	unix.Close(l.wake)
-	unix.Close(l.ep)
+	unix.Close(l.wakeFD)
+	unix.Close(l.epollFD)
 }
 
-// Close frees a loop that was never run.
-func (l *Loop) Close() { l.close() }
+// Close releases a loop that was never run.
+func (l *Loop) Close() { l.closeAll() }
 
-// homeBits is the length of the prefix that a director's own network is taken to have: the platform's pages place its
-// directors, media nodes and name service in one such network.
-const homeBits = 8
+// localNetworkBits is the prefix length assumed for a director's own network: the platform's documentation places its
+// directors, media nodes and discovery service in one /8 network.
+const localNetworkBits = 8
 
-// SetHome also serves the network that a director's own address lies in, where a platform names one. Elsewhere headmill
-// listens on and connects to the loopback interface only.
+// SetLocalAddr additionally permits addresses in the private network that contains the director's own address addr, where
+// a platform provides one. Without it, headmill listens on and connects to the loopback interface only.
 func (l *Loop) SetLocalAddr(addr string) error {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return fmt.Errorf("loop: address %q: want IPv4:PORT: %w", addr, err)
+		return fmt.Errorf("loop: address %q: expected IPv4:PORT: %w", addr, err)
 	}
 	if ap.Addr().Is4() && ap.Addr().IsPrivate() {
-		l.home = netip.PrefixFrom(ap.Addr(), homeBits).Masked()
+		l.localNetwork = netip.PrefixFrom(ap.Addr(), localNetworkBits).Masked()
 	}
 	return nil
 }
 
-// local checks that an address is IPv4 and served: on the loopback interface, or in the director's own network.
-func (l *Loop) local(addr string) (*unix.SockaddrInet4, error) {
+// checkAddr parses an IPv4 address and checks that it is on the loopback interface or in the director's own network.
+func (l *Loop) checkAddr(addr string) (*unix.SockaddrInet4, error) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return nil, fmt.Errorf("loop: address %q: want IPv4:PORT: %w", addr, err)
+		return nil, fmt.Errorf("loop: address %q: expected IPv4:PORT: %w", addr, err)
 	}
-	if !ap.Addr().Is4() || !ap.Addr().IsLoopback() && !(l.home.Contains(ap.Addr()) && ap.Addr().IsPrivate()) {
-		return nil, fmt.Errorf("loop: address %q is not on 127.0.0.0/8; headmill serves the loopback interface only", addr)
+	if !ap.Addr().Is4() || !ap.Addr().IsLoopback() && !(l.localNetwork.Contains(ap.Addr()) && ap.Addr().IsPrivate()) {
+		return nil, fmt.Errorf("loop: address %q is neither in 127.0.0.0/8 nor in the director's own private network", addr)
 	}
 	return &unix.SockaddrInet4{Port: int(ap.Port()), Addr: ap.Addr().As4()}, nil
 }
 
-// Listener takes connections.
+// Listener is a listening stream socket.
 type Listener struct {
-	l      *Loop
-	fd     int
-	addr   string
-	take   func(*Conn) Handler
-	paused bool
-	retry  *Timer
+	loop       *Loop
+	fd         int
+	addr       string
+	onAccept   func(*Conn) Handler
+	retryTimer *Timer
 }
 
-// Listen opens a listening socket; take is called for each connection and names its owner, nil to close it.
-func (l *Loop) Listen(addr string, take func(*Conn) Handler) (*Listener, error) {
-	sa, err := l.local(addr)
+// Listen opens a listening socket. onAccept is called for each accepted connection and returns its handler, or nil to
+// close the connection.
+func (l *Loop) Listen(addr string, onAccept func(*Conn) Handler) (*Listener, error) {
+	sa, err := l.checkAddr(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -334,80 +349,81 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("loop: listen on %s: %w", addr, err)
 	}
-	return l.adopt(fd, take)
+	return l.addListener(fd, onAccept)
 }
 
-// ListenFD takes over a listening socket that was handed to the process, as a supervisor does to keep a port.
-func (l *Loop) ListenFD(fd int, take func(*Conn) Handler) (*Listener, error) {
+// ListenFD uses a listening socket inherited from a parent process, for instance from a supervisor that keeps the port
+// open across restarts.
+func (l *Loop) ListenFD(fd int, onAccept func(*Conn) Handler) (*Listener, error) {
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return nil, fmt.Errorf("loop: descriptor %d: %w", fd, err)
 	}
 	unix.CloseOnExec(fd)
-	return l.adopt(fd, take)
+	return l.addListener(fd, onAccept)
 }
 
-func (l *Loop) adopt(fd int, take func(*Conn) Handler) (*Listener, error) {
-	s := &Listener{l: l, fd: fd, take: take}
+func (l *Loop) addListener(fd int, onAccept func(*Conn) Handler) (*Listener, error) {
+	s := &Listener{loop: l, fd: fd, onAccept: onAccept}
 	if got, err := unix.Getsockname(fd); err == nil {
-		s.addr = format(got)
+		s.addr = formatAddr(got)
 	}
-	if err := l.ctl(unix.EPOLL_CTL_ADD, fd, unix.EPOLLIN); err != nil {
+	if err := l.epollCtl(unix.EPOLL_CTL_ADD, fd, unix.EPOLLIN); err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
-	l.lists[fd] = s
+	l.listeners[fd] = s
 	return s, nil
 }
 
-func format(sa unix.Sockaddr) string {
+func formatAddr(sa unix.Sockaddr) string {
 	if v, ok := sa.(*unix.SockaddrInet4); ok {
 		return net.JoinHostPort(netip.AddrFrom4(v.Addr).String(), fmt.Sprint(v.Port))
 	}
 	return ""
 }
 
-// Addr is the address listened on, with the port the kernel chose.
+// Addr returns the listening address, with the port that the kernel chose.
 func (s *Listener) Addr() string { return s.addr }
 
-// Close stops listening; what was taken stays.
+// Close stops listening; accepted connections are unaffected.
 func (s *Listener) Close() {
 	if s.fd < 0 {
 		return
 	}
-	s.l.Cancel(s.retry)
-	delete(s.l.lists, s.fd)
+	s.loop.Cancel(s.retryTimer)
+	delete(s.loop.listeners, s.fd)
 	unix.Close(s.fd)
 	s.fd = -1
 }
 
-// Finish takes the connections that the machine has accepted already, and stops listening: closed at once, the listener
-// would reset them with what their peers have sent.
+// StopAccepting accepts the connections that are already in the kernel's backlog and then stops listening. Closing the
+// socket without doing so would reset those connections and lose what their peers have sent.
 func (s *Listener) StopAccepting() {
-	for s.fd >= 0 && s.accept() {
+	for s.fd >= 0 && s.acceptPending() {
 	}
 	s.Close()
 }
 
-// accept takes connections; it tells whether there may be more.
-func (s *Listener) accept() bool {
-	for range acceptMax {
+// acceptPending accepts up to maxAcceptsPerEvent connections; it reports whether there may be more.
+func (s *Listener) acceptPending() bool {
+	for range maxAcceptsPerEvent {
 		fd, sa, err := unix.Accept4(s.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		if err != nil {
-			// Out of descriptors: level-triggered readiness would spin; look again a little later.
+			// Out of descriptors or memory: level-triggered readiness would spin, so accepting pauses for 50 ms.
 			if err == unix.EMFILE || err == unix.ENFILE || err == unix.ENOBUFS || err == unix.ENOMEM {
-				s.l.ctl(unix.EPOLL_CTL_MOD, s.fd, 0)
-				s.retry = s.l.After(50, func() { s.l.ctl(unix.EPOLL_CTL_MOD, s.fd, unix.EPOLLIN) })
+				s.loop.epollCtl(unix.EPOLL_CTL_MOD, s.fd, 0)
+				s.retryTimer = s.loop.After(50, func() { s.loop.epollCtl(unix.EPOLL_CTL_MOD, s.fd, unix.EPOLLIN) })
 			}
 			return false
 		}
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		c := &Conn{l: s.l, fd: fd, state: open, peer: sa}
-		h := s.take(c)
+		c := &Conn{loop: s.loop, fd: fd, state: stateOpen, peer: sa}
+		h := s.onAccept(c)
 		if h == nil {
 			unix.Close(fd)
 			continue
 		}
-		if c.h = h; c.fd >= 0 {
+		if c.handler = h; c.fd >= 0 {
 			c.register()
 		}
 	}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -11,49 +11,49 @@
 	"time"
 )
 
-// echo writes back what comes.
-type echo struct {
-	mu     sync.Mutex
-	closed []error
-	got    int
-	eat    bool // write nothing back
-	flood  int  // bytes to write at the first data
+// echoHandler writes back what it receives.
+type echoHandler struct {
+	mu         sync.Mutex
+	closed     []error
+	got        int
+	discard    bool // write nothing back
+	floodBytes int  // bytes to write when data arrives
 }
 
-func (e *echo) Connected(*Conn) {}
-func (e *echo) Drained(*Conn)   {}
-func (e *echo) Data(c *Conn, b []byte) {
+func (e *echoHandler) Connected(*Conn) {}
+func (e *echoHandler) Drained(*Conn)   {}
+func (e *echoHandler) Data(c *Conn, b []byte) {
 	e.mu.Lock()
 	e.got += len(b)
 	e.mu.Unlock()
 	switch {
-	case e.flood > 0:
-		for n := 0; n < e.flood && c.Open(); n += 1 << 16 {
+	case e.floodBytes > 0:
+		for n := 0; n < e.floodBytes && c.Open(); n += 1 << 16 {
 			c.Write(make([]byte, 1<<16))
 		}
-	case !e.eat:
+	case !e.discard:
 		c.Write(b)
 	}
 }
-func (e *echo) Closed(_ *Conn, err error) {
+func (e *echoHandler) Closed(_ *Conn, err error) {
 	e.mu.Lock()
 	e.closed = append(e.closed, err)
 	e.mu.Unlock()
 }
 
-func (e *echo) ends() []error {
+func (e *echoHandler) closeErrors() []error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]error(nil), e.closed...)
 }
 
-func serve(t *testing.T, take func(*Conn) Handler) (*Loop, string) {
+func startLoop(t *testing.T, onAccept func(*Conn) Handler) (*Loop, string) {
 	t.Helper()
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := l.Listen("127.0.0.1:0", take)
+	ln, err := l.Listen("127.0.0.1:0", onAccept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,19 +68,19 @@
 	return l, ln.Addr()
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatal("not seen: " + what)
+	t.Fatal("timed out waiting for " + what)
 }
 
-func TestEchoOfMuch(t *testing.T) {
-	e := &echo{}
-	_, addr := serve(t, func(*Conn) Handler { return e })
+func TestEchoLargePayload(t *testing.T) {
+	e := &echoHandler{}
+	_, addr := startLoop(t, func(*Conn) Handler { return e })
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -94,37 +94,37 @@
 		t.Fatalf("echo differs: %v", err)
 	}
 	c.Close()
-	until(t, "the end", func() bool { return len(e.ends()) == 1 })
+	waitFor(t, "the end of the connection", func() bool { return len(e.closeErrors()) == 1 })
 }
 
-func TestSlowReaderIsCut(t *testing.T) {
-	e := &echo{flood: 64 << 20}
-	_, addr := serve(t, func(c *Conn) Handler { c.SetLimit(1 << 20); return e })
+func TestSlowReaderIsClosed(t *testing.T) {
+	e := &echoHandler{floodBytes: 64 << 20}
+	_, addr := startLoop(t, func(c *Conn) Handler { c.SetLimit(1 << 20); return e })
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.Write([]byte("x"))
-	until(t, "the cut", func() bool { return len(e.ends()) == 1 })
-	if err := e.ends()[0]; !errors.Is(err, ErrSlowReader) {
+	waitFor(t, "the slow reader to be closed", func() bool { return len(e.closeErrors()) == 1 })
+	if err := e.closeErrors()[0]; !errors.Is(err, ErrSlowReader) {
 		t.Fatalf("closed with %v", err)
 	}
 }
 
-// judgeAndEnd answers the first bytes and ends the connection, as a server does that has seen enough.
-type judgeAndEnd struct{ echo }
+// replyAndClose answers the first bytes and closes the connection, like a server that rejects a request early.
+type replyAndClose struct{ echoHandler }
 
-func (e *judgeAndEnd) Data(c *Conn, _ []byte) {
+func (e *replyAndClose) Data(c *Conn, _ []byte) {
 	c.Write([]byte("too long"))
 	c.CloseWrite()
 }
 
-// A peer that is in the middle of a long message reads the answer and an orderly end, not a reset; one that never
-// ends is let go, and so is one of too many.
+// A peer that is still sending a long message reads the answer and an orderly end of stream, not a reset. A peer that
+// never stops sending is disconnected at the byte limit.
 func TestLingeringClose(t *testing.T) {
-	e := &judgeAndEnd{}
-	l, addr := serve(t, func(*Conn) Handler { return e })
+	e := &replyAndClose{}
+	l, addr := startLoop(t, func(*Conn) Handler { return e })
 	for _, size := range []int{1, 100 << 10, 900 << 10} {
 		c, err := net.Dial("tcp4", addr)
 		if err != nil {
@@ -141,33 +141,33 @@
 		}
 		c.Close()
 	}
-	until(t, "the ends", func() bool { return len(e.ends()) == 3 })
+	waitFor(t, "the connections to end", func() bool { return len(e.closeErrors()) == 3 })
 	lingering := func() int {
 		n := make(chan int)
-		l.Post(func() { n <- len(l.lingers) })
+		l.Post(func() { n <- len(l.lingering) })
 		return <-n
 	}
-	until(t, "no lingerer of a peer that has closed", func() bool { return lingering() == 0 })
+	waitFor(t, "lingering to end after the peers have closed", func() bool { return lingering() == 0 })
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	go func() { // writes until it is cut
+	go func() { // writes until the connection is closed
 		for b := make([]byte, 1<<16); ; {
 			if _, err := c.Write(b); err != nil {
 				return
 			}
 		}
 	}()
-	until(t, "the lingerer", func() bool { return len(e.ends()) == 4 })
-	until(t, "it is let go of", func() bool { return lingering() == 0 })
+	waitFor(t, "the connection to linger", func() bool { return len(e.closeErrors()) == 4 })
+	waitFor(t, "lingering to end at the byte limit", func() bool { return lingering() == 0 })
 }
 
-func TestPauseHoldsBytesBack(t *testing.T) {
-	e := &echo{eat: true}
+func TestPauseStopsReading(t *testing.T) {
+	e := &echoHandler{discard: true}
 	var conn *Conn
-	l, addr := serve(t, func(c *Conn) Handler { c.Pause(true); conn = c; return e })
+	l, addr := startLoop(t, func(c *Conn) Handler { c.Pause(true); conn = c; return e })
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -177,14 +177,14 @@
 	seen := make(chan bool, 1)
 	l.Post(func() { l.After(60, func() { seen <- e.got > 0 }) })
 	if <-seen {
-		t.Fatal("a paused connection was read")
+		t.Fatal("data was read from a paused connection")
 	}
 	l.Post(func() { conn.Pause(false) })
-	until(t, "the bytes", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.got == 5 })
+	waitFor(t, "the bytes", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.got == 5 })
 }
 
-func TestTimersInOrder(t *testing.T) {
-	l, _ := serve(t, func(*Conn) Handler { return nil })
+func TestTimerOrder(t *testing.T) {
+	l, _ := startLoop(t, func(*Conn) Handler { return nil })
 	out := make(chan []int, 1)
 	l.Post(func() {
 		var got []int
@@ -200,52 +200,53 @@
 	}
 }
 
-// dialled tells what becomes of a connection that the loop opens.
-type dialled struct {
-	stood  chan bool
-	closed chan error
+// dialHandler reports the outcome of a connection that the loop dials.
+type dialHandler struct {
+	connected chan bool
+	closed    chan error
 }
 
-func (d *dialled) Connected(*Conn)           { d.stood <- true }
-func (d *dialled) Drained(*Conn)             {}
-func (d *dialled) Data(*Conn, []byte)        {}
-func (d *dialled) Closed(_ *Conn, err error) { d.closed <- err }
+func (d *dialHandler) Connected(*Conn)           { d.connected <- true }
+func (d *dialHandler) Drained(*Conn)             {}
+func (d *dialHandler) Data(*Conn, []byte)        {}
+func (d *dialHandler) Closed(_ *Conn, err error) { d.closed <- err }
 
 func TestDial(t *testing.T) {
-	l, addr := serve(t, func(*Conn) Handler { return &echo{} })
-	d := &dialled{make(chan bool, 1), make(chan error, 1)}
+	l, addr := startLoop(t, func(*Conn) Handler { return &echoHandler{} })
+	d := &dialHandler{make(chan bool, 1), make(chan error, 1)}
 	var c *Conn
 	l.Post(func() { c, _ = l.Dial(addr, d) })
-	<-d.stood
-	quiet := make(chan bool, 1)
-	l.Post(func() { quiet <- c.Idle() && c.Written() == 0 })
-	if !<-quiet {
-		t.Error("a fresh connection is not quiet")
+	<-d.connected
+	idle := make(chan bool, 1)
+	l.Post(func() { idle <- c.Idle() && c.Written() == 0 })
+	if !<-idle {
+		t.Error("a new connection is not idle")
 	}
 	l.Post(func() { c.Close(nil); c.Close(ErrClosedByOwner) })
 	if err := <-d.closed; err != nil {
-		t.Errorf("closed with %v, the first word counts", err)
+		t.Errorf("closed with %v, want the error of the first Close", err)
 	}
-	// Nobody listens.
+	// Nothing listens at this address.
 	ln, _ := net.Listen("tcp4", "127.0.0.1:0")
-	gone := ln.Addr().String()
+	closedAddr := ln.Addr().String()
 	ln.Close()
-	l.Post(func() { l.Dial(gone, d) })
+	l.Post(func() { l.Dial(closedAddr, d) })
 	if err := <-d.closed; !errors.Is(err, ErrConnectTimeout) || !IsConnRefused(err) {
-		t.Errorf("refused: %v", err)
+		t.Errorf("connection to a closed port: %v, want connection refused", err)
 	}
 	for _, bad := range []string{"10.0.0.1:80", "x", "[::1]:80"} {
 		if _, err := l.Dial(bad, d); err == nil {
-			t.Errorf("%s is dialled; only 127.0.0.0/8 is", bad)
+			t.Errorf("dialled %s; only 127.0.0.0/8 is allowed", bad)
 		}
 	}
 	if _, err := l.Listen("0.0.0.0:0", nil); err == nil {
-		t.Error("listens beyond loopback")
+		t.Error("listening on 0.0.0.0 succeeded; only 127.0.0.0/8 is allowed")
 	}
 }
 
-// A peer's close that has reached the kernel is seen before anything is written.
-func TestQuietSeesThePeersClose(t *testing.T) {
+// Idle notices a peer's close that has reached the kernel before the loop has handled it, so that nothing is written to
+// a closed connection.
+func TestIdleDetectsPeerClose(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -253,29 +254,29 @@
 	defer ln.Close()
 	peer := make(chan net.Conn, 1)
 	go func() { c, _ := ln.Accept(); peer <- c }()
-	l, _ := serve(t, func(*Conn) Handler { return nil })
-	d := &dialled{make(chan bool, 1), make(chan error, 1)}
+	l, _ := startLoop(t, func(*Conn) Handler { return nil })
+	d := &dialHandler{make(chan bool, 1), make(chan error, 1)}
 	var c *Conn
 	l.Post(func() { c, _ = l.Dial(ln.Addr().String(), d) })
-	<-d.stood
-	was := make(chan bool, 1)
-	l.Post(func() { // within one call of the loop, so that no event of the close can have been handled
+	<-d.connected
+	stillIdle := make(chan bool, 1)
+	l.Post(func() { // within one call on the loop, so that the event of the close cannot have been handled
 		(<-peer).Close()
 		for end := time.Now().Add(5 * time.Second); c.Idle() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		was <- c.Idle()
+		stillIdle <- c.Idle()
 	})
-	if <-was {
-		t.Fatal("a connection that the peer has closed passes for usable")
+	if <-stillIdle {
+		t.Fatal("a connection that the peer has closed is reported as idle")
 	}
 	if err := <-d.closed; err != nil {
-		t.Errorf("an orderly end is told as %v", err)
+		t.Errorf("an orderly end of stream is reported as %v", err)
 	}
 }
 
-func TestStopClosesAll(t *testing.T) {
-	e := &echo{}
+func TestStopClosesEverything(t *testing.T) {
+	e := &echoHandler{}
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
@@ -297,7 +298,7 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	if ends := e.ends(); len(ends) != 1 || !errors.Is(ends[0], ErrStopped) {
+	if ends := e.closeErrors(); len(ends) != 1 || !errors.Is(ends[0], ErrStopped) {
 		t.Fatalf("%v", ends)
 	}
 	if _, err := net.Dial("tcp4", ln.Addr()); err == nil {
@@ -307,7 +308,7 @@
 
 func BenchmarkEcho(b *testing.B) {
 	l, _ := New()
-	ln, _ := l.Listen("127.0.0.1:0", func(*Conn) Handler { return &echo{} })
+	ln, _ := l.Listen("127.0.0.1:0", func(*Conn) Handler { return &echoHandler{} })
 	go l.Run()
 	defer l.Stop()
 	c, err := net.Dial("tcp4", ln.Addr())
@@ -323,8 +324,8 @@
 	}
 }
 
-// Datagrams come from the peer alone, and a peer that is not there yet ends nothing.
-func TestPacket(t *testing.T) {
+// Datagrams from senders other than the peer are dropped, and only permitted addresses can be dialled.
+func TestPacketConn(t *testing.T) {
 	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -348,23 +349,23 @@
 	if err != nil || string(b[:n]) != "question" {
 		t.Fatalf("%q, %v", b[:n], err)
 	}
-	stranger, err := net.DialUDP("udp4", nil, from)
+	otherSender, err := net.DialUDP("udp4", nil, from)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stranger.Close()
-	stranger.Write([]byte("forged"))
+	defer otherSender.Close()
+	otherSender.Write([]byte("forged"))
 	peer.WriteToUDP([]byte("answer"), from)
 	select {
 	case s := <-got:
 		if s != "answer" {
-			t.Fatalf("%q came from a stranger", s)
+			t.Fatalf("received %q, which another sender sent", s)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the answer did not come")
+		t.Fatal("the answer did not arrive")
 	}
 	if _, err := l.DialPacket("10.0.0.1:53", nil); err == nil {
-		t.Fatal("a peer off the loopback interface is taken")
+		t.Fatal("dialled a peer outside the loopback interface")
 	}
 	l.Stop()
 	if err := <-done; err != nil {
@@ -372,28 +373,28 @@
 	}
 }
 
-// Nothing but the loopback interface is served, unless the director's own address lies in a private network.
-func TestHomeNetwork(t *testing.T) {
+// Only loopback addresses are permitted, unless the director's own address is in a private network.
+func TestLocalNetwork(t *testing.T) {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	for _, s := range []struct {
-		home, addr string
-		ok         bool
-	}{{"127.0.0.1:1", "10.1.0.9:5080", false}, {"10.0.0.4:5080", "10.1.0.9:5080", true}, {"10.0.0.4:5080", "127.0.0.1:5080", true},
-		{"10.0.0.4:5080", "192.168.0.1:5080", false}, {"10.0.0.4:5080", "8.8.8.8:53", false}, {"8.8.8.8:53", "8.8.8.8:53", false},
+		local, addr string
+		ok          bool
+	}{{"127.0.0.1:1", "10.1.0.9:5080", false}, {"10.0.0.4:5080", "10.1.0.9:5080", true},
+		{"10.0.0.4:5080", "127.0.0.1:5080", true}, {"10.0.0.4:5080", "192.168.0.1:5080", false}, {"10.0.0.4:5080", "8.8.8.8:53", false}, {"8.8.8.8:53", "8.8.8.8:53", false},
 		{"192.168.0.4:5080", "192.168.7.1:5080", true}, {"192.168.0.4:5080", "192.0.2.1:5080", false}} {
-		l.home = netip.Prefix{}
-		if err := l.SetLocalAddr(s.home); err != nil {
+		l.localNetwork = netip.Prefix{}
+		if err := l.SetLocalAddr(s.local); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := l.local(s.addr); (err == nil) != s.ok {
-			t.Errorf("home %s, address %s: %v", s.home, s.addr, err)
+		if _, err := l.checkAddr(s.addr); (err == nil) != s.ok {
+			t.Errorf("local address %s, address %s: %v", s.local, s.addr, err)
 		}
 	}
 	if l.SetLocalAddr("nowhere") == nil {
-		t.Error("an address that is none is taken")
+		t.Error("SetLocalAddr accepted an invalid address")
 	}
 }
--- a/internal/loop/packet.go
+++ b/internal/loop/packet.go
@@ -6,19 +6,19 @@
 	"golang.org/x/sys/unix"
 )
 
-const packetReads = 64 // datagrams read at one readiness, so that a flood of them does not starve the rest
+const maxDatagramsPerEvent = 64 // datagrams read per readiness event, so that a flood does not starve other sockets
 
-// Packet is a datagram socket that talks to one peer on the loopback interface.
+// PacketConn is a datagram socket that is connected to one peer.
 type PacketConn struct {
-	l    *Loop
-	fd   int
-	take func([]byte)
+	loop       *Loop
+	fd         int
+	onDatagram func([]byte)
 }
 
-// Packet opens a datagram socket to addr. take is called for each datagram that comes from there; its bytes are only
-// valid during the call.
-func (l *Loop) DialPacket(addr string, take func([]byte)) (*PacketConn, error) {
-	sa, err := l.local(addr)
+// DialPacket opens a datagram socket to addr. onDatagram is called for each datagram received from that address; its
+// bytes are only valid during the call.
+func (l *Loop) DialPacket(addr string, onDatagram func([]byte)) (*PacketConn, error) {
+	sa, err := l.checkAddr(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -26,30 +26,30 @@
 	if err != nil {
 		return nil, fmt.Errorf("loop: socket: %w", err)
 	}
-	if err = unix.Connect(fd, sa); err != nil { // the kernel drops what others send
+	if err = unix.Connect(fd, sa); err != nil { // the kernel drops datagrams from other senders
 		unix.Close(fd)
 		return nil, fmt.Errorf("loop: datagrams to %s: %w", addr, err)
 	}
-	if err = l.ctl(unix.EPOLL_CTL_ADD, fd, unix.EPOLLIN); err != nil {
+	if err = l.epollCtl(unix.EPOLL_CTL_ADD, fd, unix.EPOLLIN); err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
-	p := &PacketConn{l: l, fd: fd, take: take}
-	l.packets[fd] = p
+	p := &PacketConn{loop: l, fd: fd, onDatagram: onDatagram}
+	l.packetConns[fd] = p
 	return p, nil
 }
 
-// Send sends one datagram. It may be lost; an error of the socket is not told, since the answer's absence says the
-// same.
+// Send sends one datagram, which may be lost. Socket errors are not reported: the caller has to handle a missing answer
+// anyway.
 func (p *PacketConn) Send(b []byte) {
 	if p.fd >= 0 {
 		unix.SendmsgN(p.fd, b, nil, nil, unix.MSG_NOSIGNAL)
 	}
 }
 
-// Move talks to another peer from now on, on the same descriptor.
+// Reconnect changes the peer, keeping the descriptor.
 func (p *PacketConn) Reconnect(addr string) error {
-	sa, err := p.l.local(addr)
+	sa, err := p.loop.checkAddr(addr)
 	if err != nil {
 		return err
 	}
@@ -59,27 +59,27 @@
 	return nil
 }
 
-// Close ends the socket; take is not called again.
+// Close closes the socket; onDatagram is not called again.
 func (p *PacketConn) Close() {
 	if p.fd >= 0 {
-		delete(p.l.packets, p.fd)
+		delete(p.loop.packetConns, p.fd)
 		unix.Close(p.fd)
 		p.fd = -1
 	}
 }
 
-func (p *PacketConn) ready() {
-	for range packetReads {
+func (p *PacketConn) handleReadable() {
+	for range maxDatagramsPerEvent {
 		if p.fd < 0 {
 			return
 		}
-		n, err := unix.Read(p.fd, p.l.buf)
-		if err == unix.EINTR || err == unix.ECONNREFUSED { // the peer's machine says that nobody listens: read on
+		n, err := unix.Read(p.fd, p.loop.readBuf)
+		if err == unix.EINTR || err == unix.ECONNREFUSED { // an ICMP port-unreachable message: keep reading
 			continue
 		}
 		if err != nil {
 			return
 		}
-		p.take(p.l.buf[:n])
+		p.onDatagram(p.loop.readBuf[:n])
 	}
 }
