--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -1,11 +1,13 @@
 // Package http1 parses and writes HTTP/1.1 messages (RFC 9112) for the data
-// path: incremental, for any split of the bytes, bounded in every length. It
-// owns no socket and no clock; time limits are the caller's.
+// path, and parses server-sent events. The parsers are incremental: input may
+// be split anywhere, and every length is bounded. The package owns no socket
+// and no clock; timeouts are the caller's responsibility.
 //
-// It is strict where leniency lets two parsers read one stream in two ways
-// (request smuggling): both lengths, several lengths, transfer codings other
-// than one final "chunked", obsolete folding, bare CR or LF and white space
-// before a colon are errors, not guesses (RFC 9112 sections 2.2, 5.1, 5.2, 6.3).
+// It is strict where leniency lets two parsers read one stream differently
+// (request smuggling): Content-Length together with Transfer-Encoding, several
+// lengths, transfer codings other than a single "chunked", obsolete line
+// folding, bare CR or LF and white space before a colon are errors
+// (RFC 9112 sections 2.2, 5.1, 5.2, 6.3).
 package http1
 
 import (
@@ -13,28 +15,28 @@
 	"fmt"
 )
 
-// Limits bounds a message. Zero means the default in brackets.
+// Limits bounds the parts of a message. Zero selects the default given in brackets.
 type Limits struct {
-	Line   int // bytes of the first line [4096]
-	Head   int // bytes of the whole head [16384]
-	Fields int // header fields [64]
-	Body   int // bytes of a body that is kept [65536]
+	Line   int // bytes of the request line or status line [4096]
+	Head   int // bytes of the first line and all header fields [16384]
+	Fields int // number of header fields [64]
+	Body   int // bytes of a body that is buffered in Message.Body [65536]
 }
 
-func (l Limits) with(line, head, fields, body int) Limits {
-	pick := func(v *int, d int) {
+func (l Limits) withDefaults(line, head, fields, body int) Limits {
+	setDefault := func(v *int, d int) {
 		if *v <= 0 {
 			*v = d
 		}
 	}
-	pick(&l.Line, line)
-	pick(&l.Head, head)
-	pick(&l.Fields, fields)
-	pick(&l.Body, body)
+	setDefault(&l.Line, line)
+	setDefault(&l.Head, head)
+	setDefault(&l.Fields, fields)
+	setDefault(&l.Body, body)
 	return l
 }
 
-// Error is a message that can't be taken; Status is what a server answers to it.
+// Error describes why a message was rejected; Status is the status code with which a server answers it.
 type Error struct {
 	Status int
 	Why    string
@@ -42,24 +44,25 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("http1: %s", e.Why) }
 
-func bad(why string) *Error { return &Error{400, why} }
+// badRequest returns an Error with status 400.
+func badRequest(why string) *Error { return &Error{400, why} }
 
-// Field is one header field; both parts are valid until the parser's next message.
+// Field is a header field; name and value are valid until Parser.Next.
 type Field struct{ Name, Value []byte }
 
-// Message is a request or a response as parsed. Its bytes belong to the parser and are valid until Next.
+// Message is a parsed request or response. Its bytes belong to the parser and are valid until Parser.Next.
 type Message struct {
-	Method, Target []byte // of a request
-	Status         int    // of a response
-	Minor          int    // HTTP/1.Minor
+	Method, Target []byte // requests only
+	Status         int    // responses only
+	Minor          int    // minor version: HTTP/1.Minor
 	Fields         []Field
-	Body           []byte // empty where a sink took it
+	Body           []byte // empty if Parser.Sink received the body
 	Close          bool   // no further message follows on this connection
-	Length         int64  // -1: not told
+	Length         int64  // value of Content-Length; -1 if absent
 	Chunked        bool
 }
 
-// Get finds the first field of that name (given in lower case); nil where there is none.
+// Get returns the value of the first field with the given lower-case name, or nil if there is none.
 func (m *Message) Get(name string) []byte {
 	for i := range m.Fields {
 		if equalFold(m.Fields[i].Name, name) {
@@ -69,6 +72,7 @@
 	return nil
 }
 
+// equalFold compares b, ignoring ASCII case, with a lower-case string.
 func equalFold(b []byte, lower string) bool {
 	if len(b) != len(lower) {
 		return false
@@ -84,122 +88,134 @@
 	return true
 }
 
-type state uint8
+type parserState uint8
 
 // The states of a parser. Every byte is consumed in exactly one of them.
+//
+//	state       meaning                                   events
+//	head        first line and header fields              empty line: body, chunk size, until close or complete
+//	body        body of known length                      last byte: complete
+//	chunk size  line with the size of the next chunk      size above 0: chunk data; size 0: trailer
+//	chunk data  bytes of a chunk                          last byte: chunk end
+//	chunk end   CR LF after a chunk                       CR LF: chunk size
+//	trailer     trailer fields, checked and discarded     empty line: complete
+//	until close response body of unknown length           End: complete
+//	complete    Msg is whole                              Next: head
+//	failed      malformed input, in any state             none; the connection cannot be used further
 const (
-	inHead state = iota
-	inBody
-	inChunkSize
-	inChunkData
-	inChunkEnd
-	inTrailer
-	untilClose
-	complete
-	broken
+	stateHead parserState = iota
+	stateBody
+	stateChunkSize
+	stateChunkData
+	stateChunkEnd
+	stateTrailer
+	stateUntilClose
+	stateComplete
+	stateFailed
 )
 
-// Parser reads one message after the other. The zero value with Request or
-// Response as its kind is not usable: make it with NewRequests or NewResponses.
+// Parser parses one message after the other. The zero value is not usable: create a parser with NewRequests or
+// NewResponses.
 type Parser struct {
-	Msg      Message
-	Sink     func([]byte) // takes body bytes as they come (for streams); nil: they are kept in Msg.Body
-	NoBody   bool         // the awaited response has none (it answers HEAD)
-	limits   Limits
-	response bool
-	st       state
-	head     []byte // bytes of an unfinished head, or of a chunk line
-	keep     []byte // storage that Msg points into
-	body     []byte
-	left     int64
-	trailer  int
-	scanned  int
-	err      *Error
+	Msg          Message
+	Sink         func([]byte) // receives body bytes as they arrive (for streams); nil: they are buffered in Msg.Body
+	NoBody       bool         // the next response has no body (it answers a HEAD request)
+	limits       Limits
+	response     bool
+	state        parserState
+	pending      []byte // an incomplete head, or an incomplete line of the chunked coding
+	headStorage  []byte // copy of the head that Msg points into
+	body         []byte
+	remaining    int64 // bytes still to come of the body or of the current chunk
+	ignoredBytes int   // bytes of empty lines before the request line, then of trailer fields
+	scannedBytes int   // bytes of pending that were searched for the end of the head
+	err          *Error
 }
 
-// NewRequests makes a parser of requests.
-func NewRequests(l Limits) *Parser { return &Parser{limits: l.with(4096, 16384, 64, 65536)} }
+// NewRequests returns a parser of requests.
+func NewRequests(l Limits) *Parser { return &Parser{limits: l.withDefaults(4096, 16384, 64, 65536)} }
 
-// NewResponses makes a parser of responses.
+// NewResponses returns a parser of responses.
 func NewResponses(l Limits) *Parser {
-	return &Parser{limits: l.with(4096, 16384, 64, 65536), response: true}
+	return &Parser{limits: l.withDefaults(4096, 16384, 64, 65536), response: true}
 }
 
-// Idle tells that no byte of a next message has come.
-func (p *Parser) Idle() bool { return p.st == inHead && len(p.head) == 0 }
+// Idle reports whether no byte of the next message has been received.
+func (p *Parser) Idle() bool { return p.state == stateHead && len(p.pending) == 0 }
 
-// HeadDone tells that the head is parsed and a body, or its end, is awaited.
-func (p *Parser) HeadDone() bool { return p.st != inHead && p.st != broken }
+// HeadDone reports whether the head of the current message has been parsed.
+func (p *Parser) HeadDone() bool { return p.state != stateHead && p.state != stateFailed }
 
-// Next makes ready for the next message after a complete one; Msg's bytes are void from then on.
+// Next prepares the parser for the message after a complete one. The bytes that Msg referred to are no longer valid, and
+// Sink and NoBody are reset.
 func (p *Parser) Next() {
 	fields := p.Msg.Fields[:0]
 	p.Msg = Message{Fields: fields}
-	p.st, p.left, p.trailer, p.scanned = inHead, 0, 0, 0
-	p.head, p.body = p.head[:0], p.body[:0]
+	p.state, p.remaining, p.ignoredBytes, p.scannedBytes = stateHead, 0, 0, 0
+	p.pending, p.body = p.pending[:0], p.body[:0]
 	if cap(p.body) > 8192 {
-		p.body = nil // one large body does not keep its memory on a kept connection
+		p.body = nil // a single large body must not hold its memory on a persistent connection
 	}
 	p.NoBody, p.Sink = false, nil
 }
 
-// Feed takes bytes and returns how many of them belong to the present message. done tells that Msg is whole;
-// the rest of b belongs to the next one. After an error the connection can't be used further.
+// Feed consumes bytes and returns how many of them belong to the current message. done reports that Msg is complete; the
+// rest of b belongs to the next message. After an error the connection cannot be used further.
 func (p *Parser) Feed(b []byte) (n int, done bool, err error) {
-	for n < len(b) || p.st == complete {
-		if p.st == complete {
+	for n < len(b) || p.state == stateComplete {
+		if p.state == stateComplete {
 			return n, true, nil
 		}
-		k, e := p.step(b[n:])
-		n += k
+		consumed, e := p.step(b[n:])
+		n += consumed
 		if e != nil {
-			p.st, p.err = broken, e
+			p.state, p.err = stateFailed, e
 			return n, false, e
 		}
 	}
-	return n, p.st == complete, nil
+	return n, p.state == stateComplete, nil
 }
 
-// End tells the parser that the stream has ended. It returns true where that completes the message (a
-// response whose length was not told), and an error where it cuts one short.
+// End is called at the end of the stream. It returns true if that completes the message (a response without a declared
+// length), and an error if the message is incomplete.
 func (p *Parser) End() (bool, error) {
 	switch {
-	case p.st == untilClose:
-		p.st = complete
+	case p.state == stateUntilClose:
+		p.state = stateComplete
 		p.Msg.Body = p.body
 		return true, nil
-	case p.st == complete, p.Idle():
+	case p.state == stateComplete, p.Idle():
 		return false, nil
 	}
-	return false, bad("the stream ended within a message")
+	return false, badRequest("the stream ended within a message")
 }
 
 func (p *Parser) step(b []byte) (int, *Error) {
-	switch p.st {
-	case inHead:
+	switch p.state {
+	case stateHead:
 		return p.readHead(b)
-	case inBody, inChunkData:
-		k := int(min(int64(len(b)), p.left))
-		if e := p.take(b[:k]); e != nil {
-			return k, e
-		}
-		if p.left -= int64(k); p.left == 0 {
-			if p.st == inChunkData {
-				p.st = inChunkEnd
+	case stateBody, stateChunkData:
+		size := int(min(int64(len(b)), p.remaining))
+		if e := p.consumeBody(b[:size]); e != nil {
+			return size, e
+		}
+		if p.remaining -= int64(size); p.remaining == 0 {
+			if p.state == stateChunkData {
+				p.state = stateChunkEnd
 			} else {
-				p.finish()
+				p.finishMessage()
 			}
 		}
-		return k, nil
-	case untilClose:
-		return len(b), p.take(b)
-	case inChunkSize, inChunkEnd, inTrailer:
-		return p.readLine(b)
+		return size, nil
+	case stateUntilClose:
+		return len(b), p.consumeBody(b)
+	case stateChunkSize, stateChunkEnd, stateTrailer:
+		return p.readChunkLine(b)
 	}
 	return 0, p.err
 }
 
-func (p *Parser) take(b []byte) *Error {
+func (p *Parser) consumeBody(b []byte) *Error {
 	if p.Sink != nil {
 		if len(b) > 0 {
 			p.Sink(b)
@@ -213,51 +229,51 @@
 	return nil
 }
 
-func (p *Parser) finish() {
-	p.st = complete
+func (p *Parser) finishMessage() {
+	p.state = stateComplete
 	p.Msg.Body = p.body
 }
 
-// readHead gathers bytes up to the empty line. The line limit acts before the head is whole, so that a peer
-// that never ends its first line is found early.
+// readHead collects bytes up to the empty line. The line limit applies before the head is complete, so that a peer that
+// never ends its first line is rejected early.
 func (p *Parser) readHead(b []byte) (int, *Error) {
-	if len(p.head) == 0 && !p.response { // RFC 9112 2.2: a server skips an empty line before a request line
+	if len(p.pending) == 0 && !p.response { // RFC 9112 2.2: a server skips an empty line before a request line
 		skip := 0
 		for skip+1 < len(b) && b[skip] == '\r' && b[skip+1] == '\n' {
 			skip += 2
 		}
 		if skip > 0 {
-			if p.trailer += skip; p.trailer > 16 { // not for ever: it is work without a request
-				return skip, bad("empty lines before the request line")
+			if p.ignoredBytes += skip; p.ignoredBytes > 16 { // bounded, since it is work without a request
+				return skip, badRequest("empty lines before the request line")
 			}
 			return skip, nil
 		}
 	}
-	if len(p.head) == 1 && p.head[0] == '\r' && b[0] == '\n' && !p.response { // it came in two parts
-		p.head = p.head[:0]
-		if p.trailer += 2; p.trailer > 16 {
-			return 1, bad("empty lines before the request line")
+	if len(p.pending) == 1 && p.pending[0] == '\r' && b[0] == '\n' && !p.response { // CR and LF arrived in separate calls
+		p.pending = p.pending[:0]
+		if p.ignoredBytes += 2; p.ignoredBytes > 16 {
+			return 1, badRequest("empty lines before the request line")
 		}
 		return 1, nil
 	}
-	had := len(p.head)
-	if had == 0 { // the usual case, a head in one piece: only it is copied, not all that is pipelined behind it
+	buffered := len(p.pending)
+	if buffered == 0 { // common case, a head in one piece: copy only the head, not the data pipelined behind it
 		if end := bytes.Index(b, []byte("\r\n\r\n")); end >= 0 {
-			p.head = append(p.head, b[:end+4]...)
+			p.pending = append(p.pending, b[:end+4]...)
 		} else {
-			p.head = append(p.head, b...)
+			p.pending = append(p.pending, b...)
 		}
 	} else {
-		p.head = append(p.head, b...)
+		p.pending = append(p.pending, b...)
 	}
-	from := max(p.scanned-3, 0)
-	end := bytes.Index(p.head[from:], []byte("\r\n\r\n"))
+	from := max(p.scannedBytes-3, 0)
+	end := bytes.Index(p.pending[from:], []byte("\r\n\r\n"))
 	if end < 0 {
-		p.scanned = len(p.head)
-		if len(p.head) > p.limits.Line && bytes.IndexByte(p.head[:p.limits.Line], '\n') < 0 {
-			return len(b), p.tooLong()
+		p.scannedBytes = len(p.pending)
+		if len(p.pending) > p.limits.Line && bytes.IndexByte(p.pending[:p.limits.Line], '\n') < 0 {
+			return len(b), p.lineTooLong()
 		}
-		if len(p.head) > p.limits.Head {
+		if len(p.pending) > p.limits.Head {
 			return len(b), &Error{431, "header is longer than this server takes"}
 		}
 		return len(b), nil
@@ -267,44 +283,44 @@
 	if total > p.limits.Head {
 		return len(b), &Error{431, "header is longer than this server takes"}
 	}
-	used := total - had
-	p.keep = append(p.keep[:0], p.head[:total]...)
-	p.head, p.scanned = p.head[:0], 0
-	if e := p.parseHead(p.keep[:end+2]); e != nil {
+	used := total - buffered
+	p.headStorage = append(p.headStorage[:0], p.pending[:total]...)
+	p.pending, p.scannedBytes = p.pending[:0], 0
+	if e := p.parseHead(p.headStorage[:end+2]); e != nil {
 		return used, e
 	}
-	return used, p.frame()
+	return used, p.determineBodyLength()
 }
 
-func (p *Parser) tooLong() *Error {
+func (p *Parser) lineTooLong() *Error {
 	if p.response {
-		return bad("status line is too long")
+		return badRequest("status line is too long")
 	}
 	return &Error{414, "request line is longer than this server takes"}
 }
 
-// parseHead reads lines, each ended by CRLF.
+// parseHead parses the first line and the header fields, each terminated by CR LF.
 func (p *Parser) parseHead(h []byte) *Error {
-	line, rest, e := cut(h)
+	line, rest, e := cutLine(h)
 	if e != nil {
 		return e
 	}
 	if len(line) > p.limits.Line {
-		return p.tooLong()
+		return p.lineTooLong()
 	}
 	if p.response {
-		e = p.statusLine(line)
+		e = p.parseStatusLine(line)
 	} else {
-		e = p.requestLine(line)
+		e = p.parseRequestLine(line)
 	}
 	if e != nil {
 		return e
 	}
 	for len(rest) > 0 {
-		if line, rest, e = cut(rest); e != nil {
+		if line, rest, e = cutLine(rest); e != nil {
 			return e
 		}
-		f, e := field(line)
+		f, e := parseField(line)
 		if e != nil {
 			return e
 		}
@@ -316,42 +332,43 @@
 	return nil
 }
 
-// cut takes one line; a bare CR or LF anywhere is an error.
-func cut(b []byte) (line, rest []byte, e *Error) {
+// cutLine splits off one line without its CR LF; a bare CR or LF is an error.
+func cutLine(b []byte) (line, rest []byte, e *Error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 1 || b[i-1] != '\r' {
-		return nil, nil, bad("a line ends without CR LF")
+		return nil, nil, badRequest("a line ends without CR LF")
 	}
 	line = b[:i-1]
 	if bytes.IndexByte(line, '\r') >= 0 {
-		return nil, nil, bad("a bare CR within a line")
+		return nil, nil, badRequest("a bare CR within a line")
 	}
 	return line, b[i+1:], nil
 }
 
-func field(line []byte) (Field, *Error) {
+func parseField(line []byte) (Field, *Error) {
 	if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
-		return Field{}, bad("obsolete line folding")
+		return Field{}, badRequest("obsolete line folding")
 	}
 	i := bytes.IndexByte(line, ':')
 	if i <= 0 {
-		return Field{}, bad("a header line without a name")
+		return Field{}, badRequest("a header line without a name")
 	}
 	for _, c := range line[:i] {
-		if !token[c] {
-			return Field{}, bad("a header name with a character that none may have")
+		if !tokenChars[c] {
+			return Field{}, badRequest("a header name with a character that none may have")
 		}
 	}
 	v := bytes.Trim(line[i+1:], " \t")
 	for _, c := range v {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return Field{}, bad("a header value with a control character")
+			return Field{}, badRequest("a header value with a control character")
 		}
 	}
 	return Field{line[:i], v}, nil
 }
 
-var token = func() (t [256]bool) {
+// tokenChars is the set of token characters (RFC 9110 section 5.6.2).
+var tokenChars = func() (t [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		t[c] = true
 	}
@@ -364,30 +381,30 @@
 	return t
 }()
 
-func (p *Parser) requestLine(line []byte) *Error {
-	a := bytes.IndexByte(line, ' ')
-	z := bytes.LastIndexByte(line, ' ')
-	if a <= 0 || z <= a+1 || bytes.IndexByte(line[a+1:z], ' ') >= 0 {
-		return bad("request line is not METHOD TARGET HTTP/1.x")
+func (p *Parser) parseRequestLine(line []byte) *Error {
+	methodEnd := bytes.IndexByte(line, ' ')
+	targetEnd := bytes.LastIndexByte(line, ' ')
+	if methodEnd <= 0 || targetEnd <= methodEnd+1 || bytes.IndexByte(line[methodEnd+1:targetEnd], ' ') >= 0 {
+		return badRequest("request line is not METHOD TARGET HTTP/1.x")
 	}
-	for _, c := range line[:a] {
-		if !token[c] {
-			return bad("method has a character that none may have")
+	for _, c := range line[:methodEnd] {
+		if !tokenChars[c] {
+			return badRequest("method has a character that none may have")
 		}
 	}
-	for _, c := range line[a+1 : z] {
+	for _, c := range line[methodEnd+1 : targetEnd] {
 		if c <= ' ' || c >= 0x7f {
-			return bad("target has a character that none may have")
+			return badRequest("target has a character that none may have")
 		}
 	}
-	p.Msg.Method, p.Msg.Target = line[:a], line[a+1:z]
-	return p.version(line[z+1:])
+	p.Msg.Method, p.Msg.Target = line[:methodEnd], line[methodEnd+1:targetEnd]
+	return p.parseVersion(line[targetEnd+1:])
 }
 
-func (p *Parser) version(v []byte) *Error {
+func (p *Parser) parseVersion(v []byte) *Error {
 	if len(v) != 8 || !bytes.HasPrefix(v, []byte("HTTP/")) || v[6] != '.' || v[5] < '0' || v[5] > '9' ||
 		v[7] < '0' || v[7] > '9' {
-		return bad("version is not HTTP/1.x")
+		return badRequest("version is not HTTP/1.x")
 	}
 	if v[5] != '1' {
 		return &Error{505, "HTTP version is not 1.x"}
@@ -396,26 +413,27 @@
 	return nil
 }
 
-func (p *Parser) statusLine(line []byte) *Error {
+func (p *Parser) parseStatusLine(line []byte) *Error {
 	if len(line) < 12 || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
-		return bad("status line is not HTTP/1.x CODE REASON")
+		return badRequest("status line is not HTTP/1.x CODE REASON")
 	}
 	code := 0
 	for _, c := range line[9:12] {
 		if c < '0' || c > '9' {
-			return bad("status code is no number")
+			return badRequest("status code is no number")
 		}
 		code = code*10 + int(c-'0')
 	}
 	if code < 100 {
-		return bad("status code is under 100")
+		return badRequest("status code is under 100")
 	}
 	p.Msg.Status = code
-	return p.version(line[:8])
+	return p.parseVersion(line[:8])
 }
 
-// frame finds the length of the body (RFC 9112 6.3).
-func (p *Parser) frame() *Error {
+// determineBodyLength evaluates the fields that frame the message and enters the state for its body (RFC 9112
+// section 6.3).
+func (p *Parser) determineBodyLength() *Error {
 	m := &p.Msg
 	m.Length, m.Close = -1, m.Minor == 0
 	hosts, codings := 0, 0
@@ -423,9 +441,9 @@
 		f := &m.Fields[i]
 		switch {
 		case equalFold(f.Name, "content-length"):
-			n, ok := number(f.Value)
+			n, ok := parseContentLength(f.Value)
 			if !ok || m.Length >= 0 {
-				return bad("content-length is not one plain number")
+				return badRequest("content-length is not one plain number")
 			}
 			m.Length = n
 		case equalFold(f.Name, "transfer-encoding"):
@@ -434,40 +452,41 @@
 			}
 			m.Chunked = true
 		case equalFold(f.Name, "connection"):
-			m.Close = hasWord(f.Value, "close") || m.Close && !hasWord(f.Value, "keep-alive")
+			m.Close = listContains(f.Value, "close") || m.Close && !listContains(f.Value, "keep-alive")
 		case equalFold(f.Name, "host"):
 			hosts++
 		}
 	}
 	switch {
 	case m.Chunked && m.Length >= 0:
-		return bad("both content-length and transfer-encoding")
+		return badRequest("both content-length and transfer-encoding")
 	case m.Chunked && m.Minor == 0:
-		return bad("transfer-encoding in HTTP/1.0")
+		return badRequest("transfer-encoding in HTTP/1.0")
 	case !p.response && (hosts > 1 || hosts == 0 && m.Minor > 0):
-		return bad("a request needs exactly one Host")
+		return badRequest("a request needs exactly one Host")
 	}
 	if p.response && (p.NoBody || m.Status < 200 || m.Status == 204 || m.Status == 304) {
-		p.finish()
+		p.finishMessage()
 		return nil
 	}
 	switch {
 	case m.Chunked:
-		p.st = inChunkSize
+		p.state = stateChunkSize
 	case m.Length > 0:
 		if p.Sink == nil && m.Length > int64(p.limits.Body) {
 			return &Error{413, "body is longer than this server takes"}
 		}
-		p.st, p.left = inBody, m.Length
+		p.state, p.remaining = stateBody, m.Length
 	case m.Length < 0 && p.response:
-		p.st, m.Close = untilClose, true
+		p.state, m.Close = stateUntilClose, true
 	default:
-		p.finish()
+		p.finishMessage()
 	}
 	return nil
 }
 
-func number(b []byte) (int64, bool) {
+// parseContentLength parses an unsigned decimal number of at most 15 digits.
+func parseContentLength(b []byte) (int64, bool) {
 	if len(b) == 0 || len(b) > 15 {
 		return 0, false
 	}
@@ -481,75 +500,75 @@
 	return n, true
 }
 
-// HasWord finds a word in a comma-separated list; the word is given in lower case.
-func HasWord(list []byte, word string) bool { return hasWord(list, word) }
+// HasWord reports whether a comma-separated list contains the given lower-case item.
+func HasWord(list []byte, word string) bool { return listContains(list, word) }
 
-// hasWord finds a word in a comma-separated list; the word is given in lower case.
-func hasWord(list []byte, word string) bool {
+// listContains reports whether a comma-separated list contains the given lower-case item.
+func listContains(list []byte, word string) bool {
 	for len(list) > 0 {
-		var w []byte
-		if w, list, _ = bytes.Cut(list, []byte(",")); equalFold(bytes.Trim(w, " \t"), word) {
+		var item []byte
+		if item, list, _ = bytes.Cut(list, []byte(",")); equalFold(bytes.Trim(item, " \t"), word) {
 			return true
 		}
 	}
 	return false
 }
 
-// readLine gathers one short line of the chunked coding: a size, the CR LF after a chunk, or a trailer field.
-func (p *Parser) readLine(b []byte) (int, *Error) {
+// readChunkLine reads one line of the chunked coding: a chunk size, the CR LF after a chunk, or a trailer field.
+func (p *Parser) readChunkLine(b []byte) (int, *Error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
-		if p.head = append(p.head, b...); len(p.head) > p.limits.Line {
-			return len(b), bad("a line of the chunked coding is too long")
+		if p.pending = append(p.pending, b...); len(p.pending) > p.limits.Line {
+			return len(b), badRequest("a line of the chunked coding is too long")
 		}
 		return len(b), nil
 	}
-	p.head = append(p.head, b[:i+1]...)
-	if len(p.head) > p.limits.Line {
-		return i + 1, bad("a line of the chunked coding is too long")
+	p.pending = append(p.pending, b[:i+1]...)
+	if len(p.pending) > p.limits.Line {
+		return i + 1, badRequest("a line of the chunked coding is too long")
 	}
-	line, _, e := cut(p.head)
+	line, _, e := cutLine(p.pending)
 	if e != nil {
 		return i + 1, e
 	}
-	switch p.st {
-	case inChunkEnd:
+	switch p.state {
+	case stateChunkEnd:
 		if len(line) != 0 {
-			return i + 1, bad("a chunk is longer than said")
+			return i + 1, badRequest("a chunk is longer than said")
 		}
-		p.st = inChunkSize
-	case inChunkSize:
-		size, e := chunkSize(line)
+		p.state = stateChunkSize
+	case stateChunkSize:
+		size, e := parseChunkSize(line)
 		if e != nil {
 			return i + 1, e
 		}
-		if p.left = size; size == 0 {
-			p.st = inTrailer
+		if p.remaining = size; size == 0 {
+			p.state = stateTrailer
 		} else {
-			p.st = inChunkData
+			p.state = stateChunkData
 		}
-	case inTrailer: // trailer fields are checked and dropped (RFC 9110 6.5.1)
+	case stateTrailer: // trailer fields are checked and discarded (RFC 9110 section 6.5.1)
 		if len(line) == 0 {
-			p.head = p.head[:0]
-			p.finish()
+			p.pending = p.pending[:0]
+			p.finishMessage()
 			return i + 1, nil
 		}
-		if p.trailer += len(line) + 2; p.trailer > p.limits.Head {
+		if p.ignoredBytes += len(line) + 2; p.ignoredBytes > p.limits.Head {
 			return i + 1, &Error{431, "trailer is longer than this server takes"}
 		}
-		if _, e := field(line); e != nil {
+		if _, e := parseField(line); e != nil {
 			return i + 1, e
 		}
 	}
-	p.head = p.head[:0]
+	p.pending = p.pending[:0]
 	return i + 1, nil
 }
 
-func chunkSize(line []byte) (int64, *Error) {
+func parseChunkSize(line []byte) (int64, *Error) {
 	hex, _, _ := bytes.Cut(line, []byte(";"))
-	hex = bytes.TrimRight(hex, " \t") // RFC 9112 7.1.1: BWS before an extension
+	hex = bytes.TrimRight(hex, " \t") // RFC 9112 section 7.1.1: white space before an extension
 	if len(hex) == 0 || len(hex) > 12 {
-		return 0, bad("chunk size is not a hex number")
+		return 0, badRequest("chunk size is not a hex number")
 	}
 	n := int64(0)
 	for _, c := range hex {
@@ -561,7 +580,7 @@
 		case c >= 'A' && c <= 'F':
 			n = n<<4 | int64(c-'A'+10)
 		default:
-			return 0, bad("chunk size is not a hex number")
+			return 0, badRequest("chunk size is not a hex number")
 		}
 	}
 	return n, nil
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// take feeds whole to a fresh parser in parts of the given size and renders every message, and the error.
-func take(p *Parser, whole []byte, size int) (out []string, err error) {
+// parseInParts feeds whole to a new parser in parts of the given size; it returns every message as text, and the error.
+func parseInParts(p *Parser, whole []byte, size int) (out []string, err error) {
 	var rest []byte
 	for len(whole) > 0 || len(rest) > 0 {
 		n := min(size, len(whole))
@@ -30,7 +30,7 @@
 			p.Next()
 		}
 		if len(rest) > 0 {
-			return out, errors.New("parser left bytes that it needs")
+			return out, errors.New("the parser did not consume all bytes of an incomplete message")
 		}
 		if n == 0 {
 			break
@@ -49,13 +49,14 @@
 	return b.String()
 }
 
-const stream = "GET /a?b=c HTTP/1.1\r\nHost: x\r\nAccept: */*\r\n\r\n" +
+const testStream = "GET /a?b=c HTTP/1.1\r\nHost: x\r\nAccept: */*\r\n\r\n" +
 	"POST /p HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello" +
-	"\r\nPUT /c HTTP/1.1\r\nhost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;ext=1\r\nabc\r\nA \r\n0123456789\r\n0\r\nTrail: er\r\n\r\n" +
+	"\r\nPUT /c HTTP/1.1\r\nhost: x\r\nTransfer-Encoding: chunked\r\n\r\n" +
+	"3;ext=1\r\nabc\r\nA \r\n0123456789\r\n0\r\nTrail: er\r\n\r\n" +
 	"GET /z HTTP/1.0\r\n\r\n"
 
-func TestAnySplitGivesTheSame(t *testing.T) {
-	want, err := take(NewRequests(Limits{}), []byte(stream), len(stream))
+func TestAnySplitGivesSameResult(t *testing.T) {
+	want, err := parseInParts(NewRequests(Limits{}), []byte(testStream), len(testStream))
 	if err != nil || len(want) != 4 {
 		t.Fatalf("whole: %d messages, %v", len(want), err)
 	}
@@ -63,16 +64,16 @@
 		!strings.HasSuffix(want[2], `body="abc0123456789"`) || !strings.Contains(want[3], "close=true") {
 		t.Fatalf("parsed as %q", want)
 	}
-	for size := 1; size < len(stream); size++ {
-		got, err := take(NewRequests(Limits{}), []byte(stream), size)
+	for size := 1; size < len(testStream); size++ {
+		got, err := parseInParts(NewRequests(Limits{}), []byte(testStream), size)
 		if err != nil || strings.Join(got, "\n") != strings.Join(want, "\n") {
 			t.Fatalf("parts of %d: %q, %v", size, got, err)
 		}
 	}
 }
 
-// Each of these is read in two ways by some pair of servers, or has no end. All are refused, in one piece and
-// byte by byte, with a status that a viewer can be told.
+// Each of these messages is read differently by some pair of servers, or is unbounded. All are rejected, in one piece and
+// byte by byte, with the status for the response.
 func TestSmugglingAndLimits(t *testing.T) {
 	head := "POST / HTTP/1.1\r\nHost: x\r\n"
 	for name, c := range map[string]struct {
@@ -105,7 +106,7 @@
 		"chunk size not hex":     {head + "Transfer-Encoding: chunked\r\n\r\n0x3\r\nabc\r\n", 400},
 		"chunk size negative":    {head + "Transfer-Encoding: chunked\r\n\r\n-3\r\nabc\r\n", 400},
 		"chunk size too great":   {head + "Transfer-Encoding: chunked\r\n\r\nfffffffffffff\r\n", 400},
-		"chunk longer than said": {head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n", 400},
+		"chunk longer than size": {head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n", 400},
 		"chunk ended by LF":      {head + "Transfer-Encoding: chunked\r\n\r\n3\nabc\r\n", 400},
 		"body over the limit":    {head + "Content-Length: 101\r\n\r\n", 413},
 		"chunks over the limit":  {head + "Transfer-Encoding: chunked\r\n\r\n65\r\n" + strings.Repeat("a", 101) + "\r\n0\r\n\r\n", 413},
@@ -117,10 +118,10 @@
 		"only empty lines":       {strings.Repeat("\r\n", 40), 400},
 	} {
 		for _, size := range []int{1, 7, len(c.text)} {
-			_, err := take(NewRequests(Limits{Line: 128, Head: 512, Fields: 8, Body: 100}), []byte(c.text), size)
+			_, err := parseInParts(NewRequests(Limits{Line: 128, Head: 512, Fields: 8, Body: 100}), []byte(c.text), size)
 			var he *Error
 			if !errors.As(err, &he) {
-				t.Errorf("%s, parts of %d: taken (%v)", name, size, err)
+				t.Errorf("%s, parts of %d: accepted (%v)", name, size, err)
 			} else if he.Status != c.status {
 				t.Errorf("%s, parts of %d: status %d (%v), want %d", name, size, he.Status, err, c.status)
 			}
@@ -130,7 +131,7 @@
 
 func TestResponses(t *testing.T) {
 	p := NewResponses(Limits{})
-	got, err := take(p, []byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok"+
+	got, err := parseInParts(p, []byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok"+
 		"HTTP/1.1 204 No Content\r\nContent-Length: 9\r\n\r\nHTTP/1.1 200 OK\r\n\r\nuntil the end"), 3)
 	if err != nil || len(got) != 3 {
 		t.Fatalf("%q %v", got, err)
@@ -141,25 +142,25 @@
 	p = NewResponses(Limits{})
 	p.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"))
 	if done, err := p.End(); done || err == nil {
-		t.Fatal("half an answer passes for a whole one")
+		t.Fatal("an incomplete response is reported as complete")
 	}
-	for _, text := range []string{"HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n", "HTTP/1.1 abc OK\r\n\r\n", "ICY 200 OK\r\n\r\n",
-		"HTTP/1.1 099 X\r\n\r\n"} {
-		if _, err := take(NewResponses(Limits{}), []byte(text), len(text)); err == nil {
-			t.Errorf("%q is taken", text)
+	for _, text := range []string{"HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n", "HTTP/1.1 abc OK\r\n\r\n",
+		"ICY 200 OK\r\n\r\n", "HTTP/1.1 099 X\r\n\r\n"} {
+		if _, err := parseInParts(NewResponses(Limits{}), []byte(text), len(text)); err == nil {
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
 
-// What headmill takes, net/http takes too and reads alike: no message means one thing here and another there.
+// Where both this parser and net/http accept a request, they must read it alike, so that no message has two meanings.
 func FuzzRequests(f *testing.F) {
-	f.Add([]byte(stream), uint8(3))
+	f.Add([]byte(testStream), uint8(3))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), uint8(1))
 	f.Add([]byte("\r\n\r\nGET / HTTP/1.1\r\nHost: x\r\n\r\n"), uint8(2))
 	f.Fuzz(func(t *testing.T, text []byte, part uint8) {
 		l := Limits{Line: 256, Head: 1024, Fields: 16, Body: 512}
-		whole, err := take(NewRequests(l), text, max(len(text), 1))
-		split, err2 := take(NewRequests(l), text, int(part)+1)
+		whole, err := parseInParts(NewRequests(l), text, max(len(text), 1))
+		split, err2 := parseInParts(NewRequests(l), text, int(part)+1)
 		if (err == nil) != (err2 == nil) || strings.Join(whole, "\n") != strings.Join(split, "\n") {
 			t.Fatalf("whole: %q %v\nsplit: %q %v", whole, err, split, err2)
 		}
@@ -169,9 +170,9 @@
 			return
 		}
 		m := &p.Msg
-		r, herr := http.ReadRequest(bufioOf(text[:n]))
+		r, herr := http.ReadRequest(bufferedReader(text[:n]))
 		if herr != nil {
-			return // net/http reads the target more strictly; what it refuses it can't read otherwise
+			return // net/http is stricter about the target; what it rejects it cannot read differently
 		}
 		if r.Method != string(m.Method) || r.RequestURI != string(m.Target) {
 			t.Fatalf("%q %q, net/http has %q %q", m.Method, m.Target, r.Method, r.RequestURI)
@@ -188,8 +189,8 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), uint8(4))
 	f.Fuzz(func(t *testing.T, text []byte, part uint8) {
 		l := Limits{Line: 256, Head: 1024, Fields: 16, Body: 512}
-		whole, err := take(NewResponses(l), text, max(len(text), 1))
-		split, err2 := take(NewResponses(l), text, int(part)+1)
+		whole, err := parseInParts(NewResponses(l), text, max(len(text), 1))
+		split, err2 := parseInParts(NewResponses(l), text, int(part)+1)
 		if (err == nil) != (err2 == nil) || strings.Join(whole, "\n") != strings.Join(split, "\n") {
 			t.Fatalf("whole: %q %v\nsplit: %q %v", whole, err, split, err2)
 		}
@@ -226,11 +227,11 @@
 	}
 	small := Events{Max: 10}
 	if small.Feed([]byte("data: 0123456789"), func(_, _ []byte) {}) == nil {
-		t.Fatal("an event over the limit is kept")
+		t.Fatal("an event over the limit is accepted")
 	}
 }
 
-// A header value that came from outside can't begin a field of its own.
+// An untrusted header value cannot inject a header field.
 func TestFieldsCannotBeSplit(t *testing.T) {
 	b := AppendField(nil, "Location", "x\r\nSet-Cookie: a\x00")
 	if string(b) != "Location: x  Set-Cookie: a \r\n" {
@@ -252,4 +253,4 @@
 	}
 }
 
-func bufioOf(b []byte) *bufio.Reader { return bufio.NewReader(bytes.NewReader(b)) }
+func bufferedReader(b []byte) *bufio.Reader { return bufio.NewReader(bytes.NewReader(b)) }
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,33 +2,33 @@
 
 import "strconv"
 
-var reasons = map[int]string{100: "Continue", 200: "OK", 201: "Created", 204: "No Content",
+var reasonPhrases = map[int]string{100: "Continue", 200: "OK", 201: "Created", 204: "No Content",
 	307: "Temporary Redirect", 400: "Bad Request", 401: "Unauthorized", 403: "Forbidden", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 410: "Gone", 413: "Content Too Large",
 	414: "URI Too Long", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable",
 	504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
-// Reason is the phrase of a status code that headmill sends; empty for others.
-func Reason(code int) string { return reasons[code] }
+// Reason returns the reason phrase of a status code that headmill sends, and an empty string for other codes.
+func Reason(code int) string { return reasonPhrases[code] }
 
-// AppendStatus begins a response.
+// AppendStatus appends the status line of a response.
 func AppendStatus(b []byte, code int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(code), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[code]...)
+	b = append(b, reasonPhrases[code]...)
 	return append(b, "\r\n"...)
 }
 
-// AppendRequest begins a request.
+// AppendRequest appends the request line and the Host field of a request.
 func AppendRequest(b []byte, method, target, host string) []byte {
 	b = append(append(append(append(b, method...), ' '), target...), " HTTP/1.1\r\nHost: "...)
 	return append(append(b, host...), "\r\n"...)
 }
 
-// AppendField adds a header field. CR, LF and NUL in the value become spaces: what came from outside can't
-// begin a field or a message of its own.
+// AppendField appends a header field. CR, LF and NUL in the value become spaces, so that an untrusted value cannot inject
+// a field or a message.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(append(b, name...), ": "...)
 	for i := 0; i < len(value); i++ {
@@ -41,7 +41,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendBody ends the head with the body's length and adds the body, but for its bytes where head is set (HEAD).
+// AppendBody appends Content-Length, the end of the head and the body. The body itself is omitted if head is set, for
+// responses to HEAD requests.
 func AppendBody(b, body []byte, head bool) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
