--- a/internal/ws/ws.go
+++ b/internal/ws/ws.go
@@ -1,7 +1,9 @@
-// Package ws reads and writes WebSocket frames (RFC 6455) for a server: any
-// split of the bytes, bounded, strict. It owns no socket and no clock.
-// docs/design/websocket.md lists the requirements that it meets, with the test
-// of each.
+// Package ws reads and writes WebSocket frames (RFC 6455) for a server. The
+// reader is incremental (input may be split anywhere), bounds the length of
+// messages and is strict about violations of the protocol. The package owns no
+// socket and no clock. docs/design/websocket.md lists the requirements that it
+// meets, with the test of each. Section numbers in comments are those of
+// RFC 6455.
 package ws
 
 import (
@@ -12,7 +14,7 @@
 	"unicode/utf8"
 )
 
-// Opcode is the type of a frame (section 5.2).
+// Opcode is the opcode of a frame (section 5.2).
 type Opcode byte
 
 // The opcodes.
@@ -36,7 +38,7 @@
 	TooBig      = 1009
 )
 
-// Error is a stream that can't be read on; Code is what the close frame says.
+// Error is a violation after which nothing more is read; Code is the status code for the close frame.
 type Error struct {
 	Code int
 	Why  string
@@ -44,9 +46,11 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("ws: %s (%d)", e.Why, e.Code) }
 
-func broken(why string) *Error { return &Error{Protocol, why} }
+// protocolError returns an Error with close code 1002.
+func protocolError(why string) *Error { return &Error{Protocol, why} }
 
-// AcceptKey answers Sec-WebSocket-Key (section 4.2.2); false where the key is not 16 bytes of base64.
+// AcceptKey returns the value of Sec-WebSocket-Accept for a Sec-WebSocket-Key (section 4.2.2), and false if the key is
+// not 16 bytes of base64.
 func AcceptKey(key string) (string, bool) {
 	if raw, err := base64.StdEncoding.DecodeString(key); err != nil || len(raw) != 16 {
 		return "", false
@@ -55,54 +59,54 @@
 	return base64.StdEncoding.EncodeToString(sum[:]), true
 }
 
-// Message is one whole data message or control frame; its payload is valid during the call.
+// Message is a complete data message or control frame; its payload is valid during the callback.
 type Message struct {
 	Op      Opcode
 	Payload []byte
-	Code    int // of a Close; 1005 where it has none
+	Code    int // status code of a Close frame; 1005 if it has none
 }
 
-// Reader takes the bytes of a client apart. The zero value with Max set is ready.
+// Reader parses the frames that a client sends. The zero value with Max set is ready for use.
 type Reader struct {
-	Max     int // bytes of a message, fragments together
-	head    [14]byte
-	have    int // bytes of the head at hand
-	in      bool
-	fin     bool
-	op      Opcode // of the frame in hand
-	left    int
-	mask    [4]byte
-	at      int // position in the payload, for the mask
-	message []byte
-	data    Opcode // of the message in hand; 0: none
-	control []byte
-	partial []byte // an unfinished UTF-8 sequence at the end of what has come
-	closed  bool
+	Max         int // most bytes of a message, all fragments together
+	header      [14]byte
+	headerLen   int // bytes of the frame header received so far
+	inPayload   bool
+	fin         bool
+	opcode      Opcode // of the current frame
+	remaining   int
+	maskKey     [4]byte
+	maskPos     int // position in the payload, which selects the byte of the masking key
+	message     []byte
+	messageOp   Opcode // of the current message; 0 if there is none
+	control     []byte
+	partialRune []byte // an incomplete UTF-8 sequence at the end of the received text
+	closed      bool
 }
 
-// Feed takes bytes and calls f for each whole message. After an error, or after a Close was handed over,
-// nothing more is read.
-func (r *Reader) Feed(b []byte, f func(Message)) error {
+// Feed parses bytes and calls onMessage for each complete message. After an error or a Close frame all further bytes are
+// ignored.
+func (r *Reader) Feed(b []byte, onMessage func(Message)) error {
 	for len(b) > 0 && !r.closed {
-		if !r.in {
-			n, err := r.readHead(b)
+		if !r.inPayload {
+			n, err := r.readHeader(b)
 			b = b[n:]
 			if err != nil {
 				r.closed = true
 				return err
 			}
-			if !r.in {
+			if !r.inPayload {
 				return nil
 			}
 		}
-		n := min(len(b), r.left)
-		if err := r.take(b[:n]); err != nil {
+		n := min(len(b), r.remaining)
+		if err := r.appendPayload(b[:n]); err != nil {
 			r.closed = true
 			return err
 		}
 		b = b[n:]
-		if r.left == 0 {
-			if err := r.done(f); err != nil {
+		if r.remaining == 0 {
+			if err := r.finishFrame(onMessage); err != nil {
 				r.closed = true
 				return err
 			}
@@ -111,85 +115,87 @@
 	return nil
 }
 
-// Idle tells that no frame and no fragmented message is in hand.
-func (r *Reader) Idle() bool { return !r.in && r.have == 0 && r.data == 0 }
+// Idle reports whether neither a frame nor a fragmented message is incomplete.
+func (r *Reader) Idle() bool { return !r.inPayload && r.headerLen == 0 && r.messageOp == 0 }
 
-// readHead gathers the 2 to 14 bytes of a frame's head and checks them as early as they come.
-func (r *Reader) readHead(b []byte) (used int, err error) {
+// readHeader collects the 6 to 14 bytes of a masked frame's header; the first two are checked as soon as they arrive.
+func (r *Reader) readHeader(b []byte) (used int, err error) {
 	for used < len(b) {
-		r.head[r.have] = b[used]
-		r.have++
+		r.header[r.headerLen] = b[used]
+		r.headerLen++
 		used++
-		need := 6
-		if r.have >= 2 {
-			switch r.head[1] & 0x7f {
+		headerSize := 6
+		if r.headerLen >= 2 {
+			switch r.header[1] & 0x7f {
 			case 126:
-				need = 8
+				headerSize = 8
 			case 127:
-				need = 14
+				headerSize = 14
 			}
 		}
-		if r.have == 2 {
-			if e := r.check(); e != nil {
+		if r.headerLen == 2 {
+			if e := r.checkHeader(); e != nil {
 				return used, e
 			}
 		}
-		if r.have == need {
-			return used, r.begin(need)
+		if r.headerLen == headerSize {
+			return used, r.beginPayload(headerSize)
 		}
 	}
 	return used, nil
 }
 
-func (r *Reader) check() error {
-	first, second := r.head[0], r.head[1]
+// checkHeader validates the first two bytes of a frame header.
+func (r *Reader) checkHeader() error {
+	first, second := r.header[0], r.header[1]
 	op, fin, short := Opcode(first&0x0f), first&0x80 != 0, second&0x7f
 	switch {
 	case first&0x70 != 0:
-		return broken("a reserved bit is set and no extension was agreed") // 5.2
+		return protocolError("a reserved bit is set and no extension was agreed") // 5.2
 	case second&0x80 == 0:
-		return broken("a frame of a client is not masked") // 5.1
+		return protocolError("a frame of a client is not masked") // 5.1
 	case op > Binary && op < Close || op > Pong:
-		return broken("an opcode that is reserved") // 5.2
+		return protocolError("an opcode that is reserved") // 5.2
 	case op >= Close && (!fin || short > 125):
-		return broken("a control frame that is fragmented or longer than 125 bytes") // 5.5
-	case op == Continuation && r.data == 0:
-		return broken("a continuation without a beginning") // 5.4
-	case (op == Text || op == Binary) && r.data != 0:
-		return broken("a new message within a fragmented one") // 5.4
+		return protocolError("a control frame that is fragmented or longer than 125 bytes") // 5.5
+	case op == Continuation && r.messageOp == 0:
+		return protocolError("a continuation without a beginning") // 5.4
+	case (op == Text || op == Binary) && r.messageOp != 0:
+		return protocolError("a new message within a fragmented one") // 5.4
 	}
 	return nil
 }
 
-func (r *Reader) begin(need int) error {
-	length := uint64(r.head[1] & 0x7f)
+// beginPayload evaluates a complete frame header of headerSize bytes.
+func (r *Reader) beginPayload(headerSize int) error {
+	length := uint64(r.header[1] & 0x7f)
 	switch length {
 	case 126:
-		if length = uint64(binary.BigEndian.Uint16(r.head[2:])); length < 126 {
-			return broken("a length that is not in its shortest form") // 5.2
+		if length = uint64(binary.BigEndian.Uint16(r.header[2:])); length < 126 {
+			return protocolError("a length that is not in its shortest form") // 5.2
 		}
 	case 127:
-		length = binary.BigEndian.Uint64(r.head[2:])
+		length = binary.BigEndian.Uint64(r.header[2:])
 		if length>>63 != 0 || length < 1<<16 {
-			return broken("a length that is not in its shortest form") // 5.2
+			return protocolError("a length that is not in its shortest form") // 5.2
 		}
 	}
-	r.op, r.fin = Opcode(r.head[0]&0x0f), r.head[0]&0x80 != 0
-	if r.op < Close && uint64(len(r.message))+length > uint64(r.Max) {
+	r.opcode, r.fin = Opcode(r.header[0]&0x0f), r.header[0]&0x80 != 0
+	if r.opcode < Close && uint64(len(r.message))+length > uint64(r.Max) {
 		return &Error{TooBig, fmt.Sprintf("a message of over %d bytes", r.Max)} // 7.4.1
 	}
-	copy(r.mask[:], r.head[need-4:need])
-	r.in, r.have, r.at, r.left = true, 0, 0, int(length)
-	if r.op == Text || r.op == Binary {
-		r.data = r.op
+	copy(r.maskKey[:], r.header[headerSize-4:headerSize])
+	r.inPayload, r.headerLen, r.maskPos, r.remaining = true, 0, 0, int(length)
+	if r.opcode == Text || r.opcode == Binary {
+		r.messageOp = r.opcode
 	}
 	return nil
 }
 
-// take unmasks a part of a payload (section 5.3).
-func (r *Reader) take(b []byte) error {
-	r.left -= len(b)
-	if r.op >= Close {
+// appendPayload unmasks and stores a part of a payload (section 5.3).
+func (r *Reader) appendPayload(b []byte) error {
+	r.remaining -= len(b)
+	if r.opcode >= Close {
 		from := len(r.control)
 		r.control = append(r.control, b...)
 		r.unmask(r.control[from:])
@@ -198,7 +204,7 @@
 	from := len(r.message)
 	r.message = append(r.message, b...)
 	r.unmask(r.message[from:])
-	if r.data == Text && !r.text(r.message[from:]) {
+	if r.messageOp == Text && !r.validateText(r.message[from:]) {
 		return &Error{BadData, "a text message that is not UTF-8"} // 8.1
 	}
 	return nil
@@ -206,27 +212,27 @@
 
 func (r *Reader) unmask(b []byte) {
 	for i := range b {
-		b[i] ^= r.mask[r.at&3]
-		r.at++
+		b[i] ^= r.maskKey[r.maskPos&3]
+		r.maskPos++
 	}
 }
 
-// text checks UTF-8 as it comes; a sequence may be cut by a frame's end, and what can never become valid is
-// found at once.
-func (r *Reader) text(b []byte) bool {
-	if len(r.partial) > 0 {
+// validateText checks UTF-8 incrementally: a sequence may continue in the next frame, and invalid text is detected at
+// once.
+func (r *Reader) validateText(b []byte) bool {
+	if len(r.partialRune) > 0 {
 		n := 0
-		for n < len(b) && !utf8.FullRune(r.partial) {
-			r.partial = append(r.partial, b[n])
+		for n < len(b) && !utf8.FullRune(r.partialRune) {
+			r.partialRune = append(r.partialRune, b[n])
 			n++
 		}
-		if !utf8.FullRune(r.partial) {
+		if !utf8.FullRune(r.partialRune) {
 			return true
 		}
-		if c, size := utf8.DecodeRune(r.partial); c == utf8.RuneError && size <= 1 || size != len(r.partial) {
+		if c, size := utf8.DecodeRune(r.partialRune); c == utf8.RuneError && size <= 1 || size != len(r.partialRune) {
 			return false
 		}
-		r.partial = r.partial[:0]
+		r.partialRune = r.partialRune[:0]
 		b = b[n:]
 	}
 	for len(b) > 0 {
@@ -235,7 +241,7 @@
 			continue
 		}
 		if !utf8.FullRune(b) {
-			r.partial = append(r.partial[:0], b...)
+			r.partialRune = append(r.partialRune[:0], b...)
 			return true
 		}
 		c, size := utf8.DecodeRune(b)
@@ -247,52 +253,52 @@
 	return true
 }
 
-// done ends a frame, and a message where it was the last of its frames.
-func (r *Reader) done(f func(Message)) error {
-	r.in = false
-	if r.op >= Close {
+// finishFrame handles the end of a frame, and of a message if the frame was its last.
+func (r *Reader) finishFrame(onMessage func(Message)) error {
+	r.inPayload = false
+	if r.opcode >= Close {
 		payload := r.control
 		r.control = r.control[:0]
-		m := Message{Op: r.op, Payload: payload}
-		if r.op == Close {
-			if err := closing(&m); err != nil {
+		m := Message{Op: r.opcode, Payload: payload}
+		if r.opcode == Close {
+			if err := parseClose(&m); err != nil {
 				return err
 			}
 			r.closed = true
 		}
-		f(m)
+		onMessage(m)
 		return nil
 	}
 	if !r.fin {
 		return nil
 	}
-	if len(r.partial) > 0 {
+	if len(r.partialRune) > 0 {
 		return &Error{BadData, "a text message that ends within a character"}
 	}
-	m := Message{Op: r.data, Payload: r.message}
-	r.data = 0
-	keep := r.message
+	m := Message{Op: r.messageOp, Payload: r.message}
+	r.messageOp = 0
+	buffer := r.message
 	r.message = r.message[:0]
-	f(m)
-	if cap(keep) > 4096 {
-		r.message = nil // one long message does not keep its memory on an idle connection
+	onMessage(m)
+	if cap(buffer) > 4096 {
+		r.message = nil // a single long message must not hold its memory on an idle connection
 	}
 	return nil
 }
 
-// closing reads the payload of a close frame (sections 5.5.1 and 7.4).
-func closing(m *Message) error {
-	p := m.Payload
-	if len(p) == 0 {
+// parseClose parses the payload of a close frame (sections 5.5.1 and 7.4).
+func parseClose(m *Message) error {
+	payload := m.Payload
+	if len(payload) == 0 {
 		m.Code = 1005
 		return nil
 	}
-	if len(p) == 1 {
-		return broken("a close frame of one byte")
+	if len(payload) == 1 {
+		return protocolError("a close frame of one byte")
 	}
-	m.Code, m.Payload = int(binary.BigEndian.Uint16(p)), p[2:]
+	m.Code, m.Payload = int(binary.BigEndian.Uint16(payload)), payload[2:]
 	if !ValidCode(m.Code) {
-		return broken("a close code that no one may send")
+		return protocolError("a close code that no one may send")
 	}
 	if !utf8.Valid(m.Payload) {
 		return &Error{BadData, "a close reason that is not UTF-8"}
@@ -300,12 +306,13 @@
 	return nil
 }
 
-// ValidCode tells whether a code may stand in a close frame (section 7.4, and its registry as of RFC 6455).
-func ValidCode(c int) bool {
-	return c >= 1000 && c <= 1003 || c >= 1007 && c <= 1014 || c >= 3000 && c <= 4999
+// ValidCode reports whether a status code may be sent in a close frame (section 7.4 and the IANA registry that it
+// establishes).
+func ValidCode(code int) bool {
+	return code >= 1000 && code <= 1003 || code >= 1007 && code <= 1014 || code >= 3000 && code <= 4999
 }
 
-// Append writes one whole frame of a server: not masked (section 5.1).
+// Append appends a final server frame, which is not masked (section 5.1).
 func Append(b []byte, op Opcode, payload []byte) []byte {
 	b = append(b, 0x80|byte(op))
 	switch n := len(payload); {
@@ -321,7 +328,8 @@
 	return append(b, payload...)
 }
 
-// AppendClose writes a close frame; a reason that is too long is cut at a character's end.
+// AppendClose appends a close frame. A reason that is too long for a control frame is truncated at a character boundary;
+// code 1005 gives a frame without a payload.
 func AppendClose(b []byte, code int, reason string) []byte {
 	if code == 1005 {
 		return Append(b, Close, nil)
