--- a/internal/token/pool.go
+++ b/internal/token/pool.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Pool checks signatures on goroutines of its own. A signature costs more than all the rest of a request, and
-// a loop that checked them itself would answer nothing else meanwhile. Its queue is bounded: what does not fit
-// is the caller's to refuse.
+// Pool verifies signatures on worker goroutines. Verifying a signature costs more than all other work for a request, and
+// an event loop that did it itself would serve nothing else meanwhile. The queue is bounded: the caller has to reject
+// tokens that do not fit.
 type Pool struct {
 	jobs chan job
 	post func(func())
@@ -12,13 +12,14 @@
 	once sync.Once
 }
 
+// job is one token to verify; done is called on the owner's goroutine.
 type job struct {
 	keys keySet
 	raw  string
 	done func(*Claims, error)
 }
 
-// NewPool starts workers; post hands results back to the owner's goroutine.
+// NewPool starts a pool of workers with a bounded queue; post runs a function on the owner's goroutine.
 func NewPool(workers, queue int, post func(func())) *Pool {
 	p := &Pool{jobs: make(chan job, max(queue, 1)), post: post}
 	for range max(workers, 1) {
@@ -34,27 +35,28 @@
 	return p
 }
 
-// Close ends the workers; results that are out still come.
+// Close stops the workers once the queue is empty; results of queued jobs are still delivered. No job may be added
+// after it.
 func (p *Pool) Close() {
 	p.once.Do(func() { close(p.jobs) })
 	p.wg.Wait()
 }
 
-// Begin checks the signature of a token, from the cache at once or in the pool. done is called on the owner's
-// goroutine, perhaps within this call. It returns false where the pool's queue is full.
+// Begin verifies the signature of a token, from the cache at once or in the pool. done is called on the owner's
+// goroutine, possibly within this call. Begin returns false if the pool's queue is full.
 func (c *Checker) Begin(p *Pool, raw string, done func(*Claims, error)) bool {
 	if claims := c.cached(raw); claims != nil {
 		done(claims, nil)
 		return true
 	}
-	if err := plausible(raw); err != nil {
+	if err := checkLength(raw); err != nil {
 		done(nil, err)
 		return true
 	}
-	turn := c.turn
+	generation := c.keyGeneration
 	select {
 	case p.jobs <- job{c.keys, raw, func(claims *Claims, err error) {
-		if turn != c.turn { // the keys were changed meanwhile: what held then may not hold now
+		if generation != c.keyGeneration { // the keys have changed meanwhile, so the result may be outdated
 			claims, err = verify(c.keys, raw)
 		}
 		if err == nil {
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -1,11 +1,13 @@
-// Package token makes and checks session tokens: JSON Web Tokens (RFC 7519)
-// signed with EdDSA over Ed25519 (RFC 8037), keys named by kid in a JSON Web
-// Key Set (RFC 7517). Several keys are valid at a time, so that they can be
-// rotated: publish the new key, sign with it, remove the old key once its last
-// token has expired.
+// Package token issues and verifies session tokens: JSON Web Tokens (RFC 7519)
+// signed with EdDSA over Ed25519 (RFC 8037), with keys identified by kid in a
+// JSON Web Key Set (RFC 7517). Several keys are valid at a time, which allows
+// rotation: publish the new key, sign with it, and remove the old key once its
+// last token has expired.
 //
-// The package owns a bounded cache of checked signatures. It reads no file and
-// no clock, and it does not decide what a token may begin.
+// Its input is a raw token and the time, its output the token's claims or the
+// reason for rejecting it. The package owns a bounded cache of verified
+// signatures. It reads no files and no clock, and it does not decide what a
+// token authorizes.
 package token
 
 import (
@@ -20,24 +22,26 @@
 	"github.com/golang-jwt/jwt/v5"
 )
 
-// Claims is what a session token says. ID (jti) names one wanted session: however often the token comes, it
-// is the same session.
+// Claims holds the claims of a session token. ID (jti) identifies one requested session: presenting the token several
+// times refers to the same session.
 type Claims struct {
 	Title  string `json:"title"`
 	Class  string `json:"class"`
 	Tenant string `json:"brand,omitempty"`
-	// Family is the sort of player that the token was made for, as its maker knows it.
+	// Family is the kind of player that the token was issued for, as its issuer names it.
 	Family  string `json:"family,omitempty"`
 	MaxRung int    `json:"top"` // highest rung that the viewer can use, from 0
 	jwt.RegisteredClaims
 }
 
-// Validate is called by the library once the signature holds; it names the first claim that is missing.
+// Validate checks that all required claims are present and within their bounds; the error names the first violation. It
+// is called once the signature has been verified.
 func (c *Claims) Validate() error {
 	switch {
 	case c.ID == "":
 		return errors.New("claim jti is missing")
-	case len(c.ID) > 64 || len(c.Subject) > 128 || len(c.Title) > 128 || len(c.Class) > 64 || len(c.Tenant) > 64 || len(c.Family) > 64:
+	case len(c.ID) > 64 || len(c.Subject) > 128 || len(c.Title) > 128 || len(c.Class) > 64 ||
+		len(c.Tenant) > 64 || len(c.Family) > 64:
 		return errors.New("a claim is longer than allowed")
 	case c.Subject == "":
 		return errors.New("claim sub (the viewer) is missing")
@@ -51,7 +55,7 @@
 	return nil
 }
 
-// The reasons why a token is not taken; Check wraps one of them.
+// The reasons for rejecting a token; the errors of Check wrap one of them.
 var (
 	ErrMissing     = errors.New("no session token")
 	ErrInvalid     = errors.New("session token is not valid")
@@ -62,7 +66,7 @@
 
 func init() { jwt.TimePrecision = time.Millisecond }
 
-// Key is one key pair; Private is nil where only checking is possible.
+// Key is a key pair; Private is nil if the key can only verify signatures.
 type Key struct {
 	KID     string
 	Public  ed25519.PublicKey
@@ -82,7 +86,7 @@
 	Keys []jwk `json:"keys"`
 }
 
-// ParseKeys reads a JSON Web Key Set. Keys of other kinds are passed over, as RFC 7517 section 5 asks.
+// ParseKeys parses a JSON Web Key Set. Keys of other types are ignored, as RFC 7517 section 5 requires.
 func ParseKeys(text []byte) ([]Key, error) {
 	var set jwks
 	if err := json.Unmarshal(text, &set); err != nil {
@@ -95,7 +99,7 @@
 			continue
 		}
 		if k.Kid == "" || seen[k.Kid] {
-			return nil, fmt.Errorf("token: key set: keys[%d] needs a kid of its own, has %q", i, k.Kid)
+			return nil, fmt.Errorf("token: key set: keys[%d] needs a unique kid, has %q", i, k.Kid)
 		}
 		seen[k.Kid] = true
 		x, err := base64.RawURLEncoding.DecodeString(k.X)
@@ -110,38 +114,38 @@
 			}
 			key.Private = ed25519.NewKeyFromSeed(d)
 			if !key.Public.Equal(key.Private.Public()) {
-				return nil, fmt.Errorf("token: key set: key %q: x and d do not belong together", k.Kid)
+				return nil, fmt.Errorf("token: key set: key %q: the public part x does not match the private part d", k.Kid)
 			}
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 {
-		return nil, errors.New("token: key set: no Ed25519 key in it")
+		return nil, errors.New("token: key set: contains no Ed25519 key")
 	}
 	return keys, nil
 }
 
-// FormatKeys writes a JSON Web Key Set, with the private parts where private is set.
+// FormatKeys encodes a JSON Web Key Set, including the private parts if private is set.
 func FormatKeys(keys []Key, private bool) []byte {
 	set := jwks{Keys: []jwk{}}
 	for _, k := range keys {
-		j := jwk{Kty: "OKP", Crv: "Ed25519", Kid: k.KID, Use: "sig", X: base64.RawURLEncoding.EncodeToString(k.Public)}
+		entry := jwk{Kty: "OKP", Crv: "Ed25519", Kid: k.KID, Use: "sig", X: base64.RawURLEncoding.EncodeToString(k.Public)}
 		if private && k.Private != nil {
-			j.D = base64.RawURLEncoding.EncodeToString(k.Private.Seed())
+			entry.D = base64.RawURLEncoding.EncodeToString(k.Private.Seed())
 		}
-		set.Keys = append(set.Keys, j)
+		set.Keys = append(set.Keys, entry)
 	}
-	b, _ := json.MarshalIndent(set, "", "  ") // strings only: it can't fail
+	b, _ := json.MarshalIndent(set, "", "  ") // cannot fail: strings only
 	return append(b, '\n')
 }
 
-// NewKey makes a key pair out of 32 bytes of seed.
+// NewKey derives a key pair from a seed of 32 bytes.
 func NewKey(kid string, seed []byte) Key {
 	priv := ed25519.NewKeyFromSeed(seed)
 	return Key{KID: kid, Public: priv.Public().(ed25519.PublicKey), Private: priv}
 }
 
-// Mint signs a token.
+// Mint validates the claims and returns them as a signed token.
 func (k Key) Mint(c Claims) (string, error) {
 	if k.Private == nil {
 		return "", fmt.Errorf("token: key %q has no private part", k.KID)
@@ -154,40 +158,43 @@
 	return t.SignedString(k.Private)
 }
 
-// keySet is never changed once made, so that goroutines can share it.
+// keySet maps kid to public key. It is immutable once built, so goroutines can share it.
 type keySet map[string]ed25519.PublicKey
 
-// Checker checks tokens. It is for one goroutine; Pool moves the costly part to others.
+// Checker verifies tokens and caches the result. It is for use by one goroutine; Pool moves the costly signature checks
+// to others. The cache has two generations: entries are added to the current one, and when that is full it becomes the
+// previous one, whose entries are discarded.
 type Checker struct {
-	keys   keySet
-	turn   int // counts changes of the keys
-	most   int
-	young  map[string]*Claims // checked signatures, newest generation
-	old    map[string]*Claims // the generation before; forgotten when young is full
-	leeway time.Duration
+	keys           keySet
+	keyGeneration  int // number of calls of SetKeys
+	generationSize int
+	current        map[string]*Claims // claims of verified tokens by raw token, newer generation
+	previous       map[string]*Claims // the older generation; discarded when current is full
+	leeway         time.Duration
 }
 
-// NewChecker makes a checker with a cache of at most 2 x most tokens; leeway is the tolerated clock skew.
-func NewChecker(keys []Key, most int, leeway time.Duration) *Checker {
-	c := &Checker{most: max(most, 1), leeway: leeway}
+// NewChecker returns a checker with a cache of at most 2 x generationSize tokens; leeway is the tolerated clock skew.
+func NewChecker(keys []Key, generationSize int, leeway time.Duration) *Checker {
+	c := &Checker{generationSize: max(generationSize, 1), leeway: leeway}
 	c.SetKeys(keys)
 	return c
 }
 
-// SetKeys changes the key set; what was checked under the old one is checked again.
+// SetKeys replaces the key set and empties the cache, so that tokens verified with the old keys are verified again.
 func (c *Checker) SetKeys(keys []Key) {
 	c.keys = keySet{}
 	for _, k := range keys {
 		c.keys[k.KID] = k.Public
 	}
-	c.turn++
-	c.young, c.old = map[string]*Claims{}, nil
+	c.keyGeneration++
+	c.current, c.previous = map[string]*Claims{}, nil
 }
 
-// Cached is the number of tokens in the cache.
-func (c *Checker) Cached() int { return len(c.young) + len(c.old) }
+// Cached returns the number of cache entries.
+func (c *Checker) Cached() int { return len(c.current) + len(c.previous) }
 
-// Check returns the claims of a raw token that is valid at now. The claims are shared: they are not to be changed.
+// Check returns the claims of a raw token that is valid at now. The claims are shared with the cache and must not be
+// modified.
 func (c *Checker) Check(raw string, now time.Time) (*Claims, error) {
 	claims, err := c.Signed(raw)
 	if err != nil {
@@ -199,7 +206,8 @@
 	return claims, nil
 }
 
-// Valid tells whether claims whose signature holds are in force at now.
+// Valid checks exp, nbf and iat of claims whose signature has been verified against now. iat may lie up to a minute plus
+// the leeway in the future.
 func (c *Checker) Valid(claims *Claims, now time.Time) error {
 	switch {
 	case !now.Before(claims.ExpiresAt.Add(c.leeway)):
@@ -211,12 +219,12 @@
 	return nil
 }
 
-// Signed returns the claims of a token whose signature holds, whatever its times say.
+// Signed returns the claims of a token whose signature is valid, without checking its times.
 func (c *Checker) Signed(raw string) (*Claims, error) {
 	if claims := c.cached(raw); claims != nil {
 		return claims, nil
 	}
-	if err := plausible(raw); err != nil {
+	if err := checkLength(raw); err != nil {
 		return nil, err
 	}
 	claims, err := verify(c.keys, raw)
@@ -227,10 +235,10 @@
 }
 
 func (c *Checker) cached(raw string) *Claims {
-	if claims := c.young[raw]; claims != nil {
+	if claims := c.current[raw]; claims != nil {
 		return claims
 	}
-	claims := c.old[raw]
+	claims := c.previous[raw]
 	if claims != nil {
 		c.store(raw, claims)
 	}
@@ -238,14 +246,14 @@
 }
 
 func (c *Checker) store(raw string, claims *Claims) {
-	if len(c.young) >= c.most {
-		c.old, c.young = c.young, make(map[string]*Claims, c.most)
+	if len(c.current) >= c.generationSize {
+		c.previous, c.current = c.current, make(map[string]*Claims, c.generationSize)
 	}
-	c.young[raw] = claims
+	c.current[raw] = claims
 }
 
-// plausible refuses what is not worth a signature check.
-func plausible(raw string) error {
+// checkLength rejects empty and overlong tokens before the costly signature check.
+func checkLength(raw string) error {
 	if raw == "" {
 		return ErrMissing
 	}
@@ -257,7 +265,7 @@
 
 var parser = jwt.NewParser(jwt.WithValidMethods([]string{"EdDSA"}), jwt.WithoutClaimsValidation())
 
-// verify checks signature and form. It is pure, for any goroutine.
+// verify checks the signature and the claims. It has no side effects and is safe for concurrent use.
 func verify(keys keySet, raw string) (*Claims, error) {
 	claims := &Claims{}
 	_, err := parser.ParseWithClaims(raw, claims, func(t *jwt.Token) (any, error) {
@@ -279,12 +287,13 @@
 	return claims, nil
 }
 
-// AgeMs is how long ago the token was issued, in ms; rounded up where iat has whole seconds only.
+// AgeMs returns the time since the token was issued, in ms; it is too high by up to a second if iat has whole seconds
+// only.
 func (c *Claims) AgeMs(now time.Time) float64 {
 	return math.Max(0, float64(now.Sub(c.IssuedAt.Time).Microseconds())/1000)
 }
 
-// LeftMs is the time until the token expires, in ms.
+// TTLMs returns the time until the token expires, in ms; 0 if it has expired.
 func (c *Claims) TTLMs(now time.Time) float64 {
 	return math.Max(0, float64(c.ExpiresAt.Sub(now).Microseconds())/1000)
 }
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -10,60 +10,61 @@
 	"github.com/golang-jwt/jwt/v5"
 )
 
-func key(kid string, b byte) Key { return NewKey(kid, bytes.Repeat([]byte{b}, 32)) }
+func testKey(kid string, b byte) Key { return NewKey(kid, bytes.Repeat([]byte{b}, 32)) }
 
-func claims(at time.Time) Claims {
+func testClaims(at time.Time) Claims {
 	return Claims{Title: "t", Class: "c", MaxRung: 3, RegisteredClaims: jwt.RegisteredClaims{Subject: "v", ID: "j",
 		IssuedAt: jwt.NewNumericDate(at), ExpiresAt: jwt.NewNumericDate(at.Add(time.Minute))}}
 }
 
 func TestCheck(t *testing.T) {
 	now := time.Now()
-	a, b := key("a", 1), key("b", 2)
-	raw, err := a.Mint(claims(now))
+	a, b := testKey("a", 1), testKey("b", 2)
+	raw, err := a.Mint(testClaims(now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	byB, _ := b.Mint(claims(now))
+	byB, _ := b.Mint(testClaims(now))
 	swapped := raw[:strings.LastIndexByte(raw, '.')] + byB[strings.LastIndexByte(byB, '.'):]
-	none := jwt.NewWithClaims(jwt.SigningMethodNone, &Claims{})
-	none.Header["kid"] = "a"
-	plain, _ := none.SignedString(jwt.UnsafeAllowNoneSignatureType)
-	hmac := jwt.NewWithClaims(jwt.SigningMethodHS256, jwt.MapClaims{"jti": "j"})
-	hmac.Header["kid"] = "a"
-	mac, _ := hmac.SignedString([]byte(a.Public))
-	noJTI := jwt.NewWithClaims(jwt.SigningMethodEdDSA, jwt.MapClaims{"sub": "v", "title": "t", "class": "c", "exp": 9e9, "iat": 1})
+	unsigned := jwt.NewWithClaims(jwt.SigningMethodNone, &Claims{})
+	unsigned.Header["kid"] = "a"
+	rawUnsigned, _ := unsigned.SignedString(jwt.UnsafeAllowNoneSignatureType)
+	hmacSigned := jwt.NewWithClaims(jwt.SigningMethodHS256, jwt.MapClaims{"jti": "j"})
+	hmacSigned.Header["kid"] = "a"
+	rawHMAC, _ := hmacSigned.SignedString([]byte(a.Public))
+	noJTI := jwt.NewWithClaims(jwt.SigningMethodEdDSA,
+		jwt.MapClaims{"sub": "v", "title": "t", "class": "c", "exp": 9e9, "iat": 1})
 	noJTI.Header["kid"] = "a"
-	bare, _ := noJTI.SignedString(a.Private)
-	early := claims(now)
+	rawNoJTI, _ := noJTI.SignedString(a.Private)
+	early := testClaims(now)
 	early.NotBefore = jwt.NewNumericDate(now.Add(time.Minute))
-	soon, _ := a.Mint(early)
-	future := claims(now.Add(time.Hour))
-	later, _ := a.Mint(future)
+	rawNotBefore, _ := a.Mint(early)
+	future := testClaims(now.Add(time.Hour))
+	rawIssuedLater, _ := a.Mint(future)
 	c := NewChecker([]Key{a}, 8, time.Second)
 	for name, x := range map[string]struct {
 		raw string
 		at  time.Time
 		err error
 	}{
-		"good":               {raw, now, nil},
-		"within the leeway":  {raw, now.Add(time.Minute + 900*time.Millisecond), nil},
-		"expired":            {raw, now.Add(time.Minute + time.Second), ErrExpired},
-		"missing":            {"", now, ErrMissing},
-		"not a token":        {"a.b.c", now, ErrInvalid},
-		"unknown key":        {byB, now, ErrUnknownKey},
-		"signature swapped":  {swapped, now, ErrInvalid},
-		"no signature":       {plain, now, ErrInvalid},
-		"HMAC with the key":  {mac, now, ErrInvalid},
-		"no jti":             {bare, now, ErrInvalid},
-		"not before":         {soon, now, ErrNotYetValid},
-		"issued in an hour":  {later, now, ErrNotYetValid},
-		"longer than a head": {strings.Repeat("a", 5000), now, ErrInvalid},
+		"good":              {raw, now, nil},
+		"within the leeway": {raw, now.Add(time.Minute + 900*time.Millisecond), nil},
+		"expired":           {raw, now.Add(time.Minute + time.Second), ErrExpired},
+		"missing":           {"", now, ErrMissing},
+		"not a token":       {"a.b.c", now, ErrInvalid},
+		"unknown key":       {byB, now, ErrUnknownKey},
+		"signature swapped": {swapped, now, ErrInvalid},
+		"no signature":      {rawUnsigned, now, ErrInvalid},
+		"HMAC with the key": {rawHMAC, now, ErrInvalid},
+		"no jti":            {rawNoJTI, now, ErrInvalid},
+		"not before":        {rawNotBefore, now, ErrNotYetValid},
+		"issued in an hour": {rawIssuedLater, now, ErrNotYetValid},
+		"longer than 4096":  {strings.Repeat("a", 5000), now, ErrInvalid},
 	} {
-		for i := range 3 { // the second time from the cache, where it has one; then in a pool
+		for i := range 3 { // the second time from the cache, if the token is cached; the third time in a pool
 			got, err := c.Check(x.raw, x.at)
 			if i == 2 {
-				got, err = pooled(c, x.raw, x.at)
+				got, err = checkInPool(c, x.raw, x.at)
 			}
 			if !errors.Is(err, x.err) || (x.err == nil) != (got != nil) {
 				t.Errorf("%s: %v, want %v", name, err, x.err)
@@ -76,8 +77,8 @@
 	}
 }
 
-// pooled checks in a pool with an empty cache.
-func pooled(c *Checker, raw string, now time.Time) (*Claims, error) {
+// checkInPool checks a token in a pool, with an empty cache.
+func checkInPool(c *Checker, raw string, now time.Time) (*Claims, error) {
 	type result struct {
 		claims *Claims
 		err    error
@@ -97,58 +98,58 @@
 	return r.claims, r.err
 }
 
-// A key that is removed while a check is out does not let that token in, and a full queue says so.
-func TestPoolEdges(t *testing.T) {
+// A token is rejected if its key is removed while it is being verified, and Begin reports a full queue.
+func TestPoolKeyRemovalAndFullQueue(t *testing.T) {
 	now := time.Now()
-	a := key("a", 1)
-	raw, _ := a.Mint(claims(now))
+	a := testKey("a", 1)
+	raw, _ := a.Mint(testClaims(now))
 	c := NewChecker([]Key{a}, 8, 0)
 	var posted []func()
-	gate := make(chan func(), 8)
-	p := NewPool(1, 1, func(f func()) { gate <- f })
+	callbacks := make(chan func(), 8)
+	p := NewPool(1, 1, func(f func()) { callbacks <- f })
 	var got error
 	if !c.Begin(p, raw, func(_ *Claims, err error) { got = err }) {
-		t.Fatal("an empty queue is full")
+		t.Fatal("Begin reported a full queue, but it is empty")
 	}
-	posted = append(posted, <-gate)
+	posted = append(posted, <-callbacks)
 	c.SetKeys(nil)
 	posted[0]()
 	if !errors.Is(got, ErrUnknownKey) || c.Cached() != 0 {
 		t.Errorf("after the key was removed: %v, %d cached", got, c.Cached())
 	}
 	p.Close()
-	stuck := &Pool{jobs: make(chan job, 1)} // no worker
-	if !c.Begin(stuck, raw, nil) || c.Begin(stuck, raw, nil) {
-		t.Error("a queue of one takes none, or two")
+	noWorkers := &Pool{jobs: make(chan job, 1)} // no worker
+	if !c.Begin(noWorkers, raw, nil) || c.Begin(noWorkers, raw, nil) {
+		t.Error("a queue of one accepted none, or two")
 	}
 }
 
 func TestRotation(t *testing.T) {
 	now := time.Now()
-	a, b := key("a", 1), key("b", 2)
-	ra, _ := a.Mint(claims(now))
-	rb, _ := b.Mint(claims(now))
+	a, b := testKey("a", 1), testKey("b", 2)
+	rawA, _ := a.Mint(testClaims(now))
+	rawB, _ := b.Mint(testClaims(now))
 	c := NewChecker([]Key{a, b}, 8, 0)
-	for _, raw := range []string{ra, rb} {
+	for _, raw := range []string{rawA, rawB} {
 		if _, err := c.Check(raw, now); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c.SetKeys([]Key{b})
-	if _, err := c.Check(ra, now); !errors.Is(err, ErrUnknownKey) {
-		t.Errorf("a removed key still holds, from the cache: %v", err)
+	if _, err := c.Check(rawA, now); !errors.Is(err, ErrUnknownKey) {
+		t.Errorf("a token of a removed key is still accepted from the cache: %v", err)
 	}
-	if _, err := c.Check(rb, now); err != nil {
+	if _, err := c.Check(rawB, now); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestCacheIsBounded(t *testing.T) {
 	now := time.Now()
-	a := key("a", 1)
+	a := testKey("a", 1)
 	c := NewChecker([]Key{a}, 4, 0)
 	for i := range 40 {
-		x := claims(now)
+		x := testClaims(now)
 		x.ID = strings.Repeat("j", i+1)
 		raw, _ := a.Mint(x)
 		if _, err := c.Check(raw, now); err != nil {
@@ -160,8 +161,8 @@
 	}
 }
 
-func TestKeySets(t *testing.T) {
-	a, b := key("a", 1), key("b", 2)
+func TestParseAndFormatKeys(t *testing.T) {
+	a, b := testKey("a", 1), testKey("b", 2)
 	got, err := ParseKeys(FormatKeys([]Key{a, b}, true))
 	if err != nil || len(got) != 2 || !got[0].Private.Equal(a.Private) || !got[1].Public.Equal(b.Public) {
 		t.Fatalf("%v %v", got, err)
@@ -171,7 +172,7 @@
 		t.Fatal("the private part is in the public set")
 	}
 	got, _ = ParseKeys(public)
-	if _, err := got[0].Mint(claims(time.Now())); err == nil {
+	if _, err := got[0].Mint(testClaims(time.Now())); err == nil {
 		t.Error("signed without a private key")
 	}
 	for name, text := range map[string]string{
@@ -184,14 +185,15 @@
 		"not a key pair": strings.Replace(string(FormatKeys([]Key{a}, true)), `"d": "`, `"d": "B`, 1),
 	} {
 		if _, err := ParseKeys([]byte(text)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
 func FuzzCheck(f *testing.F) {
-	a := key("a", 1)
-	raw, _ := a.Mint(claims(time.Unix(1.8e9, 0))) // a fixed time: the fuzzer's workers mint it anew
+	a := testKey("a", 1)
+	// A fixed time, since the fuzzer's worker processes create the token again.
+	raw, _ := a.Mint(testClaims(time.Unix(1.8e9, 0)))
 	f.Add(raw)
 	f.Add("..")
 	f.Add("eyJhbGciOiJub25lIn0.e30.")
@@ -199,14 +201,14 @@
 		c := NewChecker([]Key{a}, 8, time.Hour*24*365*100)
 		got, err := c.Check(s, time.Now())
 		if err == nil && (s != raw || got.ID != "j") {
-			t.Fatalf("a token that nobody signed holds: %q", s)
+			t.Fatalf("a token without a valid signature was accepted: %q", s)
 		}
 	})
 }
 
-func BenchmarkCheckNew(b *testing.B) {
-	a := key("a", 1)
-	raw, _ := a.Mint(claims(time.Now()))
+func BenchmarkCheckUncached(b *testing.B) {
+	a := testKey("a", 1)
+	raw, _ := a.Mint(testClaims(time.Now()))
 	c := NewChecker([]Key{a}, 8, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -217,9 +219,9 @@
 	}
 }
 
-func BenchmarkCheckAgain(b *testing.B) {
-	a := key("a", 1)
-	raw, _ := a.Mint(claims(time.Now()))
+func BenchmarkCheckCached(b *testing.B) {
+	a := testKey("a", 1)
+	raw, _ := a.Mint(testClaims(time.Now()))
 	c := NewChecker([]Key{a}, 8, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
