--- a/internal/logfile/logfile.go
+++ b/internal/logfile/logfile.go
@@ -1,6 +1,7 @@
-// Package logfile writes log lines off the loop's way: a bounded queue and one
-// goroutine that writes. A slow or full disk costs lines, which are counted,
-// and never an answer.
+// Package logfile writes log lines asynchronously, so that the event loop never
+// blocks on the log: a bounded queue and one goroutine that writes. If the disk
+// is slow or full, lines are dropped and counted, and a line in the log reports
+// their number; request handling is not affected.
 package logfile
 
 import (
@@ -10,24 +11,26 @@
 	"sync/atomic"
 )
 
-// Writer queues whole lines.
+// Writer is an io.Writer that queues each line for a background goroutine. It is safe for concurrent use.
 type Writer struct {
-	ch      chan []byte
+	queue   chan []byte
 	done    chan struct{}
 	dropped atomic.Int64
 	once    sync.Once
 }
 
-// New starts a writer with a queue of lines.
+// New starts a writer to out with a queue of the given number of lines.
 func New(out io.Writer, lines int) *Writer {
-	w := &Writer{ch: make(chan []byte, lines), done: make(chan struct{})}
+	w := &Writer{queue: make(chan []byte, lines), done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
-		told := int64(0)
-		for b := range w.ch {
-			if n := w.dropped.Load(); n > told {
-				fmt.Fprintf(out, "{\"level\":\"WARN\",\"msg\":\"log lines dropped: the log could not be written fast enough\",\"dropped\":%d}\n", n-told)
-				told = n
+		reported := int64(0)
+		for b := range w.queue {
+			if n := w.dropped.Load(); n > reported {
+				fmt.Fprintf(out,
+					"{\"level\":\"WARN\",\"msg\":\"log lines dropped: the log could not be written fast enough\",\"dropped\":%d}\n",
+					n-reported)
+				reported = n
 			}
 			out.Write(b)
 		}
@@ -35,21 +38,21 @@
 	return w
 }
 
-// Write queues one line; it never blocks and never fails.
+// Write queues a copy of one line. It never blocks and never fails; if the queue is full, the line is dropped.
 func (w *Writer) Write(b []byte) (int, error) {
 	select {
-	case w.ch <- append([]byte(nil), b...):
+	case w.queue <- append([]byte(nil), b...):
 	default:
 		w.dropped.Add(1)
 	}
 	return len(b), nil
 }
 
-// Dropped is the number of lines that were lost.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what is queued. Nothing may be written after it.
+// Close writes all queued lines and stops the writer. Write must not be called after Close.
 func (w *Writer) Close() {
-	w.once.Do(func() { close(w.ch) })
+	w.once.Do(func() { close(w.queue) })
 	<-w.done
 }
