--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,8 @@
-// Package config reads a director's settings from TOML and checks them. Each
-// error names file, line and key and says what is wanted. It owns no state and
-// decides nothing: defaults are bounds and times that an operator may change,
-// and what the module's Config wants is handed over as it stands.
+// Package config reads a director's settings from a TOML file and checks them.
+// Each error names file, line and key and says what is expected. The package
+// holds no state. Defaults exist for limits and times that an operator may
+// change; the settings of the decision module are passed on unchanged, and its
+// own validation has the last word.
 package config
 
 import (
@@ -19,7 +20,7 @@
 	"headmill"
 )
 
-// Settings is the whole file. Times are ms, rates kB a second, sizes bytes.
+// Settings holds the whole file. Times are in ms, rates in kB/s and sizes in bytes unless a name says otherwise.
 type Settings struct {
 	Director  Director  `toml:"director"`
 	List      List      `toml:"list"`
@@ -39,147 +40,148 @@
 	Log       Log       `toml:"log"`
 }
 
-// Director names this director among the others.
+// Director identifies this director, its addresses and the other directors.
 type Director struct {
 	Name       string   `toml:"name"`
 	Listen     string   `toml:"listen"`
-	Directors  []string `toml:"directors"` // names of all; alike at every director
-	URLs       []string `toml:"urls"`      // where viewers reach each, in the order of directors
-	Agent      string   `toml:"agent"`     // IPv4:PORT for balancers' agent checks; empty: none
-	Operator   string   `toml:"operator"`  // IPv4:PORT of the operators' API (gRPC); empty: none
+	Directors  []string `toml:"directors"` // names of all directors, in the same order on each
+	URLs       []string `toml:"urls"`      // public URL of each, in the order of directors
+	Agent      string   `toml:"agent"`     // IPv4:PORT for the agent checks of load balancers; empty: none
+	Operator   string   `toml:"operator"`  // IPv4:PORT of the operator API (gRPC); empty: none
 	Metrics    string   `toml:"metrics"`   // IPv4:PORT of /metrics; empty: none
 	Zone       int      `toml:"zone"`
-	Seed       uint64   `toml:"seed"`        // 0: drawn at the start
-	FirstStart bool     `toml:"first_start"` // no earlier run took tokens: see operate/director.md
+	Seed       uint64   `toml:"seed"`        // of the random numbers; 0: chosen at start-up
+	FirstStart bool     `toml:"first_start"` // no earlier run accepted tokens: see docs/operate/director.md
 }
 
-// Gate sets what may come in before the module is asked: see docs/operate/limits.md.
+// Admission configures admission control, which runs before the decision module: see docs/operate/limits.md.
 type Admission struct {
-	PassAll     bool    `toml:"pass_all"`
-	MinRetryMs  float64 `toml:"min_retry_ms"`
-	RememberMs  float64 `toml:"remember_ms"`
-	Wishes      int     `toml:"wishes"`
-	LagMs       float64 `toml:"lag_ms"`
-	Queue       float64 `toml:"queue"`
-	MemoryBytes float64 `toml:"memory_bytes"`
+	PassAll     bool    `toml:"pass_all"`     // admit every request
+	MinRetryMs  float64 `toml:"min_retry_ms"` // smallest retry advice
+	RememberMs  float64 `toml:"remember_ms"`  // how long refused requests are remembered
+	Wishes      int     `toml:"wishes"`       // refused requests remembered at most
+	LagMs       float64 `toml:"lag_ms"`       // event loop lag that counts as full load
+	Queue       float64 `toml:"queue"`        // waiting events that count as full load
+	MemoryBytes float64 `toml:"memory_bytes"` // memory use that counts as full load; 0: not considered
 }
 
-// Quality sets what is worked out from players' reports: see docs/operate/quality.md.
+// Quality configures the evaluation of players' reports: see docs/operate/quality.md.
 type Quality struct {
-	WindowMs    float64 `toml:"window_ms"`
-	LateMs      float64 `toml:"late_ms"`
-	SkewMs      float64 `toml:"skew_ms"`
-	KeepMs      float64 `toml:"keep_ms"`
-	LookMs      float64 `toml:"look_ms"`
-	ConfirmMs   float64 `toml:"confirm_ms"`
-	Groups      int     `toml:"groups"`
-	SwitchCost  float64 `toml:"switch_cost"`
-	StallCost   float64 `toml:"stall_cost"`
-	StartCost   float64 `toml:"start_cost"`
-	ShortUnder  float64 `toml:"short_under"`
-	MinSessions int     `toml:"min_sessions"`
-	MinScore    float64 `toml:"min_score"`
-	Relieve     bool    `toml:"relieve"` // findings on racks and boxes are told to the module
-}
-
-// History says where closed windows are kept, and how many: see docs/operate/quality.md.
+	WindowMs    float64 `toml:"window_ms"`    // length of a window of event time
+	LateMs      float64 `toml:"late_ms"`      // allowed lateness of reports
+	SkewMs      float64 `toml:"skew_ms"`      // largest clock skew assumed of a player
+	KeepMs      float64 `toml:"keep_ms"`      // how long the timeline of an ended session is kept
+	LookMs      float64 `toml:"look_ms"`      // interval between runs of the detector
+	ConfirmMs   float64 `toml:"confirm_ms"`   // how long a cause must explain most before it is reported
+	Groups      int     `toml:"groups"`       // groups in a window at most
+	SwitchCost  float64 `toml:"switch_cost"`  // quality units per unit of quality change
+	StallCost   float64 `toml:"stall_cost"`   // quality units per second of stall
+	StartCost   float64 `toml:"start_cost"`   // quality units per second of start-up
+	ShortUnder  float64 `toml:"short_under"`  // fraction of the granted rate under which a session is short
+	MinSessions int     `toml:"min_sessions"` // of a group, for a finding
+	MinScore    float64 `toml:"min_score"`    // log-likelihood gain required of a finding
+	Relieve     bool    `toml:"relieve"`      // findings on racks and nodes are reported to the decision module
+}
+
+// History configures the storage of closed windows: see docs/operate/quality.md.
 type History struct {
-	Dir      string  `toml:"dir"` // relative to the settings file; empty: no history
-	SegmentS float64 `toml:"segment_s"`
-	MaxBytes int64   `toml:"max_bytes"` // of this director's segments
-	MaxAgeS  float64 `toml:"max_age_s"`
+	Dir      string  `toml:"dir"`       // relative to the settings file; empty: no history
+	SegmentS float64 `toml:"segment_s"` // seconds covered by one segment file
+	MaxBytes int64   `toml:"max_bytes"` // of all segment files of this director
+	MaxAgeS  float64 `toml:"max_age_s"` // age in seconds after which a segment file is removed
 }
 
-// Trace names the file of traces.
+// Trace configures tracing.
 type Trace struct {
 	File string  `toml:"file"` // relative to the settings file; empty: none
-	Part float64 `toml:"part"` // of the sessions, 0 to 1
+	Part float64 `toml:"part"` // sampling ratio of sessions, 0 to 1
 }
 
-// Brand is one tenant's part.
+// Tenant configures the capacity share of one tenant.
 type Tenant struct {
 	Name     string  `toml:"name"`
-	Share    float64 `toml:"share"`
-	MaxShare float64 `toml:"most"`
+	Share    float64 `toml:"share"` // weight of its share of the capacity
+	MaxShare float64 `toml:"most"`  // largest fraction of the capacity, borrowed capacity included; 0: no cap
 }
 
-// List names the list service.
+// List configures the discovery service.
 type List struct {
 	Addr    string  `toml:"addr"` // IPv4:PORT
 	Path    string  `toml:"path"`
-	RetryMs float64 `toml:"retry_ms"`
-	// SilentMs without a byte means that the stream is broken; the service sends comments to keep it alive.
+	RetryMs float64 `toml:"retry_ms"` // pause before reconnecting
+	// SilentMs is the time without a byte after which the stream is considered broken; the service sends comments as
+	// heartbeats.
 	SilentMs float64 `toml:"silent_ms"`
 }
 
-// Tokens names the key set.
+// Tokens configures the verification of session tokens.
 type Tokens struct {
-	Keys   string  `toml:"keys"` // file of a JSON Web Key Set; relative to the settings file
-	SkewMs float64 `toml:"skew_ms"`
-	Cache  int     `toml:"cache"`
-	// Workers check signatures beside the loop; 0: one less than there are processors, one at least.
+	Keys   string  `toml:"keys"`    // file of a JSON Web Key Set; relative to the settings file
+	SkewMs float64 `toml:"skew_ms"` // tolerated clock skew
+	Cache  int     `toml:"cache"`   // verified tokens per cache generation
+	// Workers is the number of goroutines that verify signatures; 0: one less than the number of processors, at least 1.
 	Workers int `toml:"workers"`
-	Queue   int `toml:"queue"` // checks that may wait; what comes beyond is refused at once
+	Queue   int `toml:"queue"` // verifications that may be queued; further tokens are refused at once
 }
 
-// Limits bounds what is kept.
+// Limits bounds memory, connections and sessions.
 type Limits struct {
-	Connections       int `toml:"connections"`
-	Line              int `toml:"line"`
-	Head              int `toml:"head"`
-	Fields            int `toml:"fields"`
-	Body              int `toml:"body"`
-	Output            int `toml:"output"`  // bytes that may wait for a viewer
-	Entries           int `toml:"entries"` // of the once-ledger
-	Waiters           int `toml:"waiters"` // requests that wait for one session
-	Nodes             int `toml:"boxes"`
-	IdleConnsPerNode  int `toml:"pool_per_box"`   // kept connections to a box
-	EventBytes        int `toml:"event_bytes"`    // one event of the list or of a box
-	ConnsPerNode      int `toml:"conns_per_box"`  // connections to a box in all
+	Connections       int `toml:"connections"`    // viewer connections
+	Line              int `toml:"line"`           // bytes of a request line
+	Head              int `toml:"head"`           // bytes of a request line and its header fields
+	Fields            int `toml:"fields"`         // header fields of a request
+	Body              int `toml:"body"`           // bytes of a request body
+	Output            int `toml:"output"`         // bytes buffered for one viewer
+	Entries           int `toml:"entries"`        // entries of the idempotency ledger
+	Waiters           int `toml:"waiters"`        // requests that wait for one session
+	Nodes             int `toml:"boxes"`          // media nodes
+	IdleConnsPerNode  int `toml:"pool_per_box"`   // idle pooled connections to a media node
+	EventBytes        int `toml:"event_bytes"`    // bytes of one event from discovery or from a media node
+	ConnsPerNode      int `toml:"conns_per_box"`  // all connections to a media node
 	Sessions          int `toml:"sessions"`       // sessions of this director
-	CommandsPerNode   int `toml:"commands_a_box"` // rung changes and ends that wait for one box
-	TotalOutput       int `toml:"output_in_all"`  // bytes that may wait for all viewers together
-	Reports           int `toml:"reports"`        // bytes of players' reports that are kept
-	Timelines         int `toml:"timelines"`      // bytes of the timelines that quality is worked out from
-	Message           int `toml:"message"`        // of a WebSocket message
-	PendingPerSocket  int `toml:"socket_opens"`   // requests that may be out on one WebSocket connection
-	SessionsPerSocket int `toml:"socket_holds"`   // sessions held by one WebSocket connection
-	SocketSessions    int `toml:"sockets"`        // sessions held by all of them
+	CommandsPerNode   int `toml:"commands_a_box"` // rung changes and session ends queued for one media node
+	TotalOutput       int `toml:"output_in_all"`  // bytes buffered for all viewers together
+	Reports           int `toml:"reports"`        // bytes of stored player reports
+	Timelines         int `toml:"timelines"`      // bytes of the session timelines that quality is computed from
+	Message           int `toml:"message"`        // bytes of a WebSocket message
+	PendingPerSocket  int `toml:"socket_opens"`   // pending requests on one WebSocket connection
+	SessionsPerSocket int `toml:"socket_holds"`   // sessions attached to one WebSocket connection
+	SocketSessions    int `toml:"sockets"`        // sessions attached to all WebSocket connections together
 }
 
-// Times has the time limits of connections and boxes.
+// Times holds the timeouts of connections, media nodes and shutdown, in ms.
 type Times struct {
-	HeadMs              float64 `toml:"head_ms"`
-	IdleMs              float64 `toml:"idle_ms"`
-	WriteMs             float64 `toml:"write_ms"`
-	ConnectMs           float64 `toml:"connect_ms"`
-	NodeIdleMs          float64 `toml:"box_idle_ms"`
-	LateAnswerMs        float64 `toml:"late_ms"` // how long a late word of a box on a paid set-up is listened for
-	UnclaimedTTLMs      float64 `toml:"hold_ms"` // how long a session that no viewer took is kept
-	NodeStreamTimeoutMs float64 `toml:"box_silent_ms"`
-	NodeTimeoutMs       float64 `toml:"box_lost_ms"`
-	SetupDrainMs        float64 `toml:"finish_ms"`
-	SessionDrainMs      float64 `toml:"play_ms"`
-	EndConfirmMs        float64 `toml:"end_ms"`
-	CommandMs           float64 `toml:"command_ms"`
-	PingMs              float64 `toml:"ping_ms"`   // a WebSocket connection that is silent so long is pinged
-	PongMs              float64 `toml:"pong_ms"`   // and cut if nothing comes for so long after that
-	DetachedTTLMs       float64 `toml:"tie_ms"`    // how long a session outlives the WebSocket connection that held it
-	ReportMs            float64 `toml:"report_ms"` // agreed time between a player's reports on one session
-	NoticeMs            float64 `toml:"notice_ms"` // at a stop: new sessions are refused so long before the door is closed
-	AnswerMarginMs      float64 `toml:"margin_ms"` // an answer is given so long before the viewer gives up
-}
-
-// Ladder is the ladder of rates.
+	HeadMs              float64 `toml:"head_ms"`       // to receive a request head
+	IdleMs              float64 `toml:"idle_ms"`       // of an idle viewer connection
+	WriteMs             float64 `toml:"write_ms"`      // to send an answer to a viewer
+	ConnectMs           float64 `toml:"connect_ms"`    // to connect to a media node
+	NodeIdleMs          float64 `toml:"box_idle_ms"`   // of an idle pooled connection to a media node
+	LateAnswerMs        float64 `toml:"late_ms"`       // how long a late answer to a paid set-up is waited for
+	UnclaimedTTLMs      float64 `toml:"hold_ms"`       // how long a session that no viewer has claimed is kept
+	NodeStreamTimeoutMs float64 `toml:"box_silent_ms"` // silence after which a node's event stream counts as broken
+	NodeTimeoutMs       float64 `toml:"box_lost_ms"`   // silence after which a node's sessions are given up
+	SetupDrainMs        float64 `toml:"finish_ms"`     // at shutdown: for pending set-ups
+	SessionDrainMs      float64 `toml:"play_ms"`       // at shutdown: for sessions that play
+	EndConfirmMs        float64 `toml:"end_ms"`        // at shutdown: for media nodes to confirm session ends
+	CommandMs           float64 `toml:"command_ms"`    // for a media node to answer a command
+	PingMs              float64 `toml:"ping_ms"`       // silence after which a WebSocket connection is pinged
+	PongMs              float64 `toml:"pong_ms"`       // further silence after which it is closed
+	DetachedTTLMs       float64 `toml:"tie_ms"`        // how long a session outlives its WebSocket connection
+	ReportMs            float64 `toml:"report_ms"`     // agreed interval between a player's reports on one session
+	NoticeMs            float64 `toml:"notice_ms"`     // at shutdown: new sessions are refused before the listener closes
+	AnswerMarginMs      float64 `toml:"margin_ms"`     // time before a viewer's give-up at which it is answered
+}
+
+// Ladder describes the ladder of rates, from the lowest rung to the highest.
 type Ladder struct {
-	RateKB          []float64 `toml:"rate_kb"`
-	Worth           []float64 `toml:"worth"`
-	Width           []int     `toml:"width"`
-	SegmentMs       float64   `toml:"segment_ms"`
-	RungChangeCostS float64   `toml:"switch_s"`
+	RateKB          []float64 `toml:"rate_kb"`    // rate of each rung, kB/s
+	Worth           []float64 `toml:"worth"`      // quality of each rung
+	Width           []int     `toml:"width"`      // picture width of each rung, pixels
+	SegmentMs       float64   `toml:"segment_ms"` // duration of a media segment
+	RungChangeCostS float64   `toml:"switch_s"`   // cost of a rung change, in seconds of worth
 }
 
-// Fleet is what is known of the boxes beforehand.
+// Fleet describes the media nodes as far as they are known in advance; see headmill.Config for its fields.
 type Fleet struct {
 	Cells            int     `toml:"cells"`
 	Racks            int     `toml:"racks"`
@@ -194,7 +196,7 @@
 	ColdRateFraction float64 `toml:"cold_from"`
 }
 
-// Attempts bounds what is tried for a request.
+// Attempts bounds the attempts for a request; see headmill.Config for its fields.
 type Attempts struct {
 	Max                 int     `toml:"max"`
 	RetryAfter          bool    `toml:"retry_after"`
@@ -205,7 +207,7 @@
 	RetryBudgetWindowMs float64 `toml:"look_back_ms"`
 }
 
-// Class is one kind of session.
+// Class configures one class of sessions; see headmill.Class for its fields.
 type Class struct {
 	Name        string  `toml:"name"`
 	TargetMs    float64 `toml:"aim_ms"`
@@ -216,26 +218,26 @@
 	Value       float64 `toml:"value"`
 	RateScale   float64 `toml:"scale"`
 	MinRung     int     `toml:"floor"`
-	MaxRung     int     `toml:"top"` // -1: the ladder's
+	MaxRung     int     `toml:"top"` // -1 or absent: the ladder's highest
 	MaxPerTitle int     `toml:"seats"`
 }
 
-// Title is one entry of the catalogue.
+// Title is an entry of the catalogue.
 type Title struct {
 	Name       string  `toml:"name"`
 	Class      string  `toml:"class"`
-	FirstCell  int     `toml:"home"`
-	Copies     int     `toml:"copies"`
+	FirstCell  int     `toml:"home"`   // first of the consecutive cells that hold it
+	Copies     int     `toml:"copies"` // number of these cells
 	DurationMs float64 `toml:"duration_ms"`
 }
 
-// Log says where logs go.
+// Log configures logging.
 type Log struct {
 	Level string `toml:"level"`
 	File  string `toml:"file"` // empty: standard error
 }
 
-// Default is what a file that says nothing would mean.
+// Default returns the settings of an empty file.
 func Default() Settings {
 	return Settings{
 		Director: Director{Listen: "127.0.0.1:0"},
@@ -243,16 +245,18 @@
 		Tokens:   Tokens{SkewMs: 250, Cache: 8192, Queue: 1024},
 		Limits: Limits{Connections: 20000, Line: 4608, Head: 16384, Fields: 64, Body: 65536,
 			Output: 262144, Entries: 200000, Waiters: 8, Nodes: 1024, IdleConnsPerNode: 64, EventBytes: 1 << 20,
-			ConnsPerNode: 512, Sessions: 100000, CommandsPerNode: 4096, TotalOutput: 256 << 20, Reports: 16 << 20, Timelines: 64 << 20, Message: 16384,
-			PendingPerSocket: 16, SessionsPerSocket: 64, SocketSessions: 100000},
-		Quality: Quality{WindowMs: 5000, LateMs: 25000, SkewMs: 3600e3, KeepMs: 120000, LookMs: 500, ConfirmMs: 1500, Groups: 4096, SwitchCost: 1,
-			StallCost: 3, StartCost: 0.2, ShortUnder: 0.9, MinSessions: 6, MinScore: 8, Relieve: true},
+			ConnsPerNode: 512, Sessions: 100000, CommandsPerNode: 4096, TotalOutput: 256 << 20, Reports: 16 << 20,
+			Timelines: 64 << 20, Message: 16384, PendingPerSocket: 16, SessionsPerSocket: 64, SocketSessions: 100000},
+		Quality: Quality{WindowMs: 5000, LateMs: 25000, SkewMs: 3600e3, KeepMs: 120000, LookMs: 500,
+			ConfirmMs: 1500, Groups: 4096, SwitchCost: 1, StallCost: 3, StartCost: 0.2, ShortUnder: 0.9,
+			MinSessions: 6, MinScore: 8, Relieve: true},
 		Trace:     Trace{Part: 0.01},
 		History:   History{SegmentS: 60, MaxBytes: 256 << 20, MaxAgeS: 30 * 86400},
 		Admission: Admission{MinRetryMs: 200, RememberMs: 30000, Wishes: 100000, LagMs: 100, Queue: 20000},
 		Times: Times{HeadMs: 5000, IdleMs: 60000, WriteMs: 10000, ConnectMs: 250, NodeIdleMs: 15000, LateAnswerMs: 10000,
-			UnclaimedTTLMs: 8000, NodeStreamTimeoutMs: 3000, NodeTimeoutMs: 4000, SetupDrainMs: 6000, SessionDrainMs: 10000, EndConfirmMs: 1000,
-			CommandMs: 2000, AnswerMarginMs: 25, PingMs: 20000, PongMs: 10000, DetachedTTLMs: 15000, ReportMs: 5000, NoticeMs: 250},
+			UnclaimedTTLMs: 8000, NodeStreamTimeoutMs: 3000, NodeTimeoutMs: 4000, SetupDrainMs: 6000,
+			SessionDrainMs: 10000, EndConfirmMs: 1000, CommandMs: 2000, AnswerMarginMs: 25, PingMs: 20000,
+			PongMs: 10000, DetachedTTLMs: 15000, ReportMs: 5000, NoticeMs: 250},
 		Ladder:   Ladder{SegmentMs: 2000},
 		Fleet:    Fleet{Cells: 1, Racks: 1},
 		Attempts: Attempts{Max: 3, RetryAfter: true, MaxRetryAfterMs: 1000},
@@ -260,7 +264,7 @@
 	}
 }
 
-// Problem is one fault with its place.
+// SettingError is one invalid setting and its position.
 type SettingError struct {
 	File    string
 	Line    int // 0: the key is not in the file
@@ -275,7 +279,8 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Key, p.Message)
 }
 
-// Load reads and checks a file. The error joins one Problem for each fault found.
+// Load reads and checks a file. The error joins one SettingError for each invalid setting. Relative paths in the file
+// are resolved against its directory.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -297,7 +302,7 @@
 	return s, nil
 }
 
-// Parse checks a text; file is its name in errors.
+// Parse decodes and checks a TOML text; file is its name in errors.
 func Parse(file string, text []byte) (*Settings, error) {
 	s := Default()
 	dec := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
@@ -309,16 +314,16 @@
 		if c.RateScale == 0 {
 			c.RateScale = 1
 		}
-		if c.MaxRung < 0 || c.MaxRung == 0 && !wasSet(text, "class", i, "top") {
+		if c.MaxRung < 0 || c.MaxRung == 0 && !isKeySet(text, "class", i, "top") {
 			c.MaxRung = len(s.Ladder.RateKB) - 1
 		}
 	}
-	ck := &checker{file: file, lines: places(text), s: &s}
-	ck.all()
-	if len(ck.problems) > 0 {
-		sort.SliceStable(ck.problems, func(i, j int) bool { return ck.problems[i].Line < ck.problems[j].Line })
+	check := &checker{file: file, lines: keyLines(text), settings: &s}
+	check.checkAll()
+	if len(check.problems) > 0 {
+		sort.SliceStable(check.problems, func(i, j int) bool { return check.problems[i].Line < check.problems[j].Line })
 		var errs []error
-		for _, p := range ck.problems {
+		for _, p := range check.problems {
 			errs = append(errs, p)
 		}
 		return nil, errors.Join(errs...)
@@ -326,11 +331,13 @@
 	return &s, nil
 }
 
-func wasSet(text []byte, table string, i int, key string) bool {
-	_, ok := places(text)[fmt.Sprintf("%s[%d].%s", table, i, key)]
+// isKeySet reports whether the text sets a key in entry i of an array of tables.
+func isKeySet(text []byte, table string, i int, key string) bool {
+	_, ok := keyLines(text)[fmt.Sprintf("%s[%d].%s", table, i, key)]
 	return ok
 }
 
+// decodeError converts an error of the TOML decoder to SettingErrors where it has positions.
 func decodeError(file string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -355,8 +362,8 @@
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// places finds the line of every key: "times.head_ms", "class[1].aim_ms".
-func places(text []byte) map[string]int {
+// keyLines returns the line of every key by its path, for instance "times.head_ms" or "class[1].aim_ms".
+func keyLines(text []byte) map[string]int {
 	out := map[string]int{}
 	counts := map[string]int{}
 	prefix := ""
@@ -397,80 +404,83 @@
 	return out
 }
 
+// checker collects the errors of one file.
 type checker struct {
 	file     string
-	lines    map[string]int
-	s        *Settings
+	lines    map[string]int // line of each key
+	settings *Settings
 	problems []SettingError
 }
 
-// bad notes a fault at a key; the line is the key's, else that of its table.
-func (c *checker) bad(key, why string, args ...any) {
+// report records an error for a key, at the key's line or, if the file does not set it, at the line of its table.
+func (c *checker) report(key, format string, args ...any) {
 	line := c.lines[key]
 	for k := key; line == 0 && strings.Contains(k, "."); {
 		k = k[:strings.LastIndexByte(k, '.')]
 		line = c.lines[k]
 	}
-	c.problems = append(c.problems, SettingError{c.file, line, key, fmt.Sprintf(why, args...)})
+	c.problems = append(c.problems, SettingError{c.file, line, key, fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) addr(key, v string, zeroPort bool) {
+// checkAddr checks an IPv4 address on the loopback interface; zeroPort permits port 0.
+func (c *checker) checkAddr(key, v string, zeroPort bool) {
 	ap, err := netip.ParseAddrPort(v)
 	switch {
 	case err != nil:
-		c.bad(key, "%q is not IPv4:PORT", v)
+		c.report(key, "%q is not IPv4:PORT", v)
 	case !ap.Addr().Is4() || !ap.Addr().IsLoopback():
-		c.bad(key, "%s is not on 127.0.0.0/8; this version serves the loopback interface only", v)
+		c.report(key, "%s is not on 127.0.0.0/8; this version serves the loopback interface only", v)
 	case ap.Port() == 0 && !zeroPort:
-		c.bad(key, "%s needs a port", v)
+		c.report(key, "%s needs a port", v)
 	}
 }
 
-func (c *checker) atLeast(key string, v, least float64) {
-	if !(v >= least) || v > 1e12 {
-		c.bad(key, "%v must be a number of at least %v", v, least)
+// checkMinimum checks that a number is at least minimum and no more than 1e12.
+func (c *checker) checkMinimum(key string, v, minimum float64) {
+	if !(v >= minimum) || v > 1e12 {
+		c.report(key, "%v must be a number of at least %v", v, minimum)
 	}
 }
 
-func (c *checker) all() {
-	s := c.s
+func (c *checker) checkAll() {
+	s := c.settings
 	d := &s.Director
 	if d.Name == "" {
-		c.bad("director.name", "is needed, for instance name = \"d0\"")
+		c.report("director.name", "is needed, for instance name = \"d0\"")
 	}
-	c.addr("director.listen", d.Listen, true)
+	c.checkAddr("director.listen", d.Listen, true)
 	if d.Name != "" && len(d.Directors) > 0 && s.Self() < 0 {
-		c.bad("director.directors", "does not hold this director's own name %q", d.Name)
+		c.report("director.directors", "does not hold this director's own name %q", d.Name)
 	}
 	seen := map[string]bool{}
 	for _, n := range d.Directors {
 		if seen[n] {
-			c.bad("director.directors", "%q stands there twice", n)
+			c.report("director.directors", "%q stands there twice", n)
 		}
 		seen[n] = true
 	}
 	if len(d.URLs) > 0 && len(d.URLs) != len(d.Directors) {
-		c.bad("director.urls", "has %d entries for %d directors", len(d.URLs), len(d.Directors))
+		c.report("director.urls", "has %d entries for %d directors", len(d.URLs), len(d.Directors))
 	}
 	if len(d.Directors) > 1 && len(d.URLs) == 0 {
-		c.bad("director.urls", "is needed with several directors: a paid token that arrives at the wrong one is sent on")
+		c.report("director.urls", "is needed with several directors: a paid token that arrives at the wrong one is sent on")
 	}
 	for _, u := range d.URLs {
 		if !strings.HasPrefix(u, "http://") || strings.HasSuffix(u, "/") {
-			c.bad("director.urls", "%q is not http://IPv4:PORT without a final slash", u)
+			c.report("director.urls", "%q is not http://IPv4:PORT without a final slash", u)
 		}
 	}
-	c.addr("list.addr", s.List.Addr, false)
+	c.checkAddr("list.addr", s.List.Addr, false)
 	if !strings.HasPrefix(s.List.Path, "/") {
-		c.bad("list.path", "%q must begin with a slash", s.List.Path)
+		c.report("list.path", "%q must begin with a slash", s.List.Path)
 	}
 	if s.Tokens.Keys == "" {
-		c.bad("tokens.keys", "is needed: the file of a JSON Web Key Set (headmill token keys makes one)")
+		c.report("tokens.keys", "is needed: the file of a JSON Web Key Set (headmill token keys makes one)")
 	}
-	for _, f := range []struct {
-		key   string
-		v     float64
-		least float64
+	for _, bound := range []struct {
+		key     string
+		value   float64
+		minimum float64
 	}{
 		{"list.retry_ms", s.List.RetryMs, 10}, {"list.silent_ms", s.List.SilentMs, 100},
 		{"tokens.skew_ms", s.Tokens.SkewMs, 0}, {"tokens.cache", float64(s.Tokens.Cache), 1},
@@ -492,15 +502,20 @@
 		{"times.box_lost_ms", s.Times.NodeTimeoutMs, 50}, {"times.finish_ms", s.Times.SetupDrainMs, 0},
 		{"times.play_ms", s.Times.SessionDrainMs, 0}, {"times.end_ms", s.Times.EndConfirmMs, 0},
 		{"times.command_ms", s.Times.CommandMs, 10}, {"times.margin_ms", s.Times.AnswerMarginMs, 0},
-		{"times.ping_ms", s.Times.PingMs, 50}, {"times.pong_ms", s.Times.PongMs, 50}, {"times.tie_ms", s.Times.DetachedTTLMs, 0},
+		{"times.ping_ms", s.Times.PingMs, 50}, {"times.pong_ms", s.Times.PongMs, 50},
+		{"times.tie_ms", s.Times.DetachedTTLMs, 0},
 		{"times.report_ms", s.Times.ReportMs, 1}, {"times.notice_ms", s.Times.NoticeMs, 0},
-		{"limits.output_in_all", float64(s.Limits.TotalOutput), 65536}, {"limits.reports", float64(s.Limits.Reports), 0}, {"limits.timelines", float64(s.Limits.Timelines), 0},
+		{"limits.output_in_all", float64(s.Limits.TotalOutput), 65536},
+		{"limits.reports", float64(s.Limits.Reports), 0}, {"limits.timelines", float64(s.Limits.Timelines), 0},
 		{"limits.message", float64(s.Limits.Message), 1024}, {"limits.socket_opens", float64(s.Limits.PendingPerSocket), 1},
-		{"limits.socket_holds", float64(s.Limits.SessionsPerSocket), 1}, {"limits.sockets", float64(s.Limits.SocketSessions), 1},
+		{"limits.socket_holds", float64(s.Limits.SessionsPerSocket), 1},
+		{"limits.sockets", float64(s.Limits.SocketSessions), 1},
 		{"gate.min_retry_ms", s.Admission.MinRetryMs, 0}, {"gate.remember_ms", s.Admission.RememberMs, 0},
-		{"gate.wishes", float64(s.Admission.Wishes), 1}, {"gate.lag_ms", s.Admission.LagMs, 1}, {"gate.queue", s.Admission.Queue, 1},
+		{"gate.wishes", float64(s.Admission.Wishes), 1}, {"gate.lag_ms", s.Admission.LagMs, 1},
+		{"gate.queue", s.Admission.Queue, 1},
 		{"gate.memory_bytes", s.Admission.MemoryBytes, 0},
-		{"quality.window_ms", s.Quality.WindowMs, 100}, {"quality.late_ms", s.Quality.LateMs, 0}, {"quality.skew_ms", s.Quality.SkewMs, 0},
+		{"quality.window_ms", s.Quality.WindowMs, 100}, {"quality.late_ms", s.Quality.LateMs, 0},
+		{"quality.skew_ms", s.Quality.SkewMs, 0},
 		{"quality.keep_ms", s.Quality.KeepMs, 0}, {"quality.look_ms", s.Quality.LookMs, 50},
 		{"quality.confirm_ms", s.Quality.ConfirmMs, 0}, {"quality.groups", float64(s.Quality.Groups), 8},
 		{"quality.switch_cost", s.Quality.SwitchCost, 0}, {"quality.stall_cost", s.Quality.StallCost, 0},
@@ -519,121 +534,121 @@
 		{"attempts.min_extra", s.Attempts.RetryBudgetMin, 0}, {"attempts.repeat_ratio", s.Attempts.RetryBudgetRatio, 0},
 		{"attempts.look_back_ms", s.Attempts.RetryBudgetWindowMs, 0},
 	} {
-		c.atLeast(f.key, f.v, f.least)
+		c.checkMinimum(bound.key, bound.value, bound.minimum)
 	}
 	if s.Limits.Line > s.Limits.Head {
-		c.bad("limits.line", "%d is over limits.head, %d", s.Limits.Line, s.Limits.Head)
+		c.report("limits.line", "%d is over limits.head, %d", s.Limits.Line, s.Limits.Head)
 	}
 	if d.Agent != "" {
-		c.addr("director.agent", d.Agent, true)
+		c.checkAddr("director.agent", d.Agent, true)
 	}
 	if d.Metrics != "" {
-		c.addr("director.metrics", d.Metrics, true)
+		c.checkAddr("director.metrics", d.Metrics, true)
 	}
 	if s.Trace.Part > 1 {
-		c.bad("trace.part", "%v is over 1, which is every session", s.Trace.Part)
+		c.report("trace.part", "%v is over 1, which is every session", s.Trace.Part)
 	}
 	if d.Operator != "" {
-		c.addr("director.operator", d.Operator, true)
+		c.checkAddr("director.operator", d.Operator, true)
 	}
-	brands := map[string]bool{}
-	for i, b := range s.Tenants {
-		at := fmt.Sprintf("brand[%d].", i)
-		if b.Name == "" || brands[b.Name] {
-			c.bad(at+"name", "%q must be a name of its own", b.Name)
+	tenantNames := map[string]bool{}
+	for i, tenant := range s.Tenants {
+		prefix := fmt.Sprintf("brand[%d].", i)
+		if tenant.Name == "" || tenantNames[tenant.Name] {
+			c.report(prefix+"name", "%q must be a name of its own", tenant.Name)
 		}
-		brands[b.Name] = true
-		c.atLeast(at+"share", b.Share, 0)
-		if !(b.MaxShare >= 0) || b.MaxShare > 1 {
-			c.bad(at+"most", "%v must be a part from 0 (no cap) to 1", b.MaxShare)
+		tenantNames[tenant.Name] = true
+		c.checkMinimum(prefix+"share", tenant.Share, 0)
+		if !(tenant.MaxShare >= 0) || tenant.MaxShare > 1 {
+			c.report(prefix+"most", "%v must be a part from 0 (no cap) to 1", tenant.MaxShare)
 		}
 	}
-	c.ladder()
-	c.classes()
-	c.titles()
-	if len(c.problems) == 0 { // the module has the last word on what it is given
+	c.checkLadder()
+	c.checkClasses()
+	c.checkTitles()
+	if len(c.problems) == 0 { // the decision module validates its own settings
 		if cfg := s.Module(); cfg.Validate() != nil {
-			c.bad("fleet", "%v", cfg.Validate())
+			c.report("fleet", "%v", cfg.Validate())
 		}
 	}
 }
 
-func (c *checker) ladder() {
-	l := &c.s.Ladder
+func (c *checker) checkLadder() {
+	l := &c.settings.Ladder
 	if len(l.RateKB) == 0 {
-		c.bad("ladder.rate_kb", "is needed: the rate of each rung in kB a second, rising")
+		c.report("ladder.rate_kb", "is needed: the rate of each rung in kB a second, rising")
 		return
 	}
 	for i, r := range l.RateKB {
 		if !(r > 0) || i > 0 && r <= l.RateKB[i-1] {
-			c.bad("ladder.rate_kb", "rung %d has %v; rates must be positive and rising", i, r)
+			c.report("ladder.rate_kb", "rung %d has %v; rates must be positive and rising", i, r)
 		}
 	}
 	if len(l.Worth) != len(l.RateKB) {
-		c.bad("ladder.worth", "has %d entries for %d rungs", len(l.Worth), len(l.RateKB))
+		c.report("ladder.worth", "has %d entries for %d rungs", len(l.Worth), len(l.RateKB))
 	}
 	if len(l.Width) != 0 && len(l.Width) != len(l.RateKB) {
-		c.bad("ladder.width", "has %d entries for %d rungs", len(l.Width), len(l.RateKB))
+		c.report("ladder.width", "has %d entries for %d rungs", len(l.Width), len(l.RateKB))
 	}
 }
 
-func (c *checker) classes() {
-	if len(c.s.Classes) == 0 {
-		c.bad("class", "at least one [[class]] is needed")
+func (c *checker) checkClasses() {
+	if len(c.settings.Classes) == 0 {
+		c.report("class", "at least one [[class]] is needed")
 	}
 	seen := map[string]bool{}
-	for i := range c.s.Classes {
-		k, at := &c.s.Classes[i], fmt.Sprintf("class[%d].", i)
-		if k.Name == "" || seen[k.Name] {
-			c.bad(at+"name", "%q must be a name of its own", k.Name)
+	for i := range c.settings.Classes {
+		class, prefix := &c.settings.Classes[i], fmt.Sprintf("class[%d].", i)
+		if class.Name == "" || seen[class.Name] {
+			c.report(prefix+"name", "%q must be a name of its own", class.Name)
 		}
-		seen[k.Name] = true
-		c.atLeast(at+"aim_ms", k.TargetMs, 1)
-		c.atLeast(at+"give_up_ms", k.GiveUpMs, 1)
-		c.atLeast(at+"value", k.Value, 0)
-		c.atLeast(at+"scale", k.RateScale, 0.001)
-		c.atLeast(at+"key_ttl_ms", k.KeyTTLMs, 0)
-		if k.Semantics != "repeatable" && k.Semantics != "by_key" && k.Semantics != "once" {
-			c.bad(at+"repeat", "%q must be repeatable, by_key or once", k.Semantics)
+		seen[class.Name] = true
+		c.checkMinimum(prefix+"aim_ms", class.TargetMs, 1)
+		c.checkMinimum(prefix+"give_up_ms", class.GiveUpMs, 1)
+		c.checkMinimum(prefix+"value", class.Value, 0)
+		c.checkMinimum(prefix+"scale", class.RateScale, 0.001)
+		c.checkMinimum(prefix+"key_ttl_ms", class.KeyTTLMs, 0)
+		if class.Semantics != "repeatable" && class.Semantics != "by_key" && class.Semantics != "once" {
+			c.report(prefix+"repeat", "%q must be repeatable, by_key or once", class.Semantics)
 		}
-		if k.KeyScope != "" && k.KeyScope != "all" && k.KeyScope != "zone" && k.KeyScope != "cell" {
-			c.bad(at+"key_scope", "%q must be all, zone or cell", k.KeyScope)
+		if class.KeyScope != "" && class.KeyScope != "all" && class.KeyScope != "zone" && class.KeyScope != "cell" {
+			c.report(prefix+"key_scope", "%q must be all, zone or cell", class.KeyScope)
 		}
-		if n := len(c.s.Ladder.RateKB); k.MinRung < 0 || k.MinRung > k.MaxRung || k.MaxRung >= n {
-			c.bad(at+"floor", "floor %d and top %d do not fit a ladder of %d rungs", k.MinRung, k.MaxRung, n)
+		if n := len(c.settings.Ladder.RateKB); class.MinRung < 0 || class.MinRung > class.MaxRung || class.MaxRung >= n {
+			c.report(prefix+"floor", "floor %d and top %d do not fit a ladder of %d rungs", class.MinRung, class.MaxRung, n)
 		}
-		if k.MaxPerTitle < 0 {
-			c.bad(at+"seats", "%d must be 0 (no cap) or more", k.MaxPerTitle)
+		if class.MaxPerTitle < 0 {
+			c.report(prefix+"seats", "%d must be 0 (no cap) or more", class.MaxPerTitle)
 		}
-		if k.GiveUpMs > c.s.Times.SetupDrainMs {
-			c.bad("times.finish_ms", "%v is under the give_up_ms of class %q, %v: a stop would cut its answers short",
-				c.s.Times.SetupDrainMs, k.Name, k.GiveUpMs)
+		if class.GiveUpMs > c.settings.Times.SetupDrainMs {
+			c.report("times.finish_ms", "%v is under the give_up_ms of class %q, %v: a stop would cut its answers short",
+				c.settings.Times.SetupDrainMs, class.Name, class.GiveUpMs)
 		}
 	}
 }
 
-func (c *checker) titles() {
+func (c *checker) checkTitles() {
 	seen := map[string]bool{}
-	for i := range c.s.Titles {
-		t, at := &c.s.Titles[i], fmt.Sprintf("title[%d].", i)
-		if t.Name == "" || seen[t.Name] || strings.ContainsAny(t.Name, "/?#% ") {
-			c.bad(at+"name", "%q must be a name of its own without / ? # %% or space", t.Name)
+	for i := range c.settings.Titles {
+		title, prefix := &c.settings.Titles[i], fmt.Sprintf("title[%d].", i)
+		if title.Name == "" || seen[title.Name] || strings.ContainsAny(title.Name, "/?#% ") {
+			c.report(prefix+"name", "%q must be a name of its own without / ? # %% or space", title.Name)
 		}
-		seen[t.Name] = true
-		if c.s.ClassIndex(t.Class) < 0 {
-			c.bad(at+"class", "there is no [[class]] named %q", t.Class)
+		seen[title.Name] = true
+		if c.settings.ClassIndex(title.Class) < 0 {
+			c.report(prefix+"class", "there is no [[class]] named %q", title.Class)
 		}
-		if t.FirstCell < 0 || t.FirstCell >= c.s.Fleet.Cells {
-			c.bad(at+"home", "cell %d of %d", t.FirstCell, c.s.Fleet.Cells)
+		if title.FirstCell < 0 || title.FirstCell >= c.settings.Fleet.Cells {
+			c.report(prefix+"home", "cell %d of %d", title.FirstCell, c.settings.Fleet.Cells)
 		}
-		if t.Copies < 1 || t.Copies > c.s.Fleet.Cells {
-			c.bad(at+"copies", "%d must be 1 to %d cells", t.Copies, c.s.Fleet.Cells)
+		if title.Copies < 1 || title.Copies > c.settings.Fleet.Cells {
+			c.report(prefix+"copies", "%d must be 1 to %d cells", title.Copies, c.settings.Fleet.Cells)
 		}
-		c.atLeast(at+"duration_ms", t.DurationMs, 100)
+		c.checkMinimum(prefix+"duration_ms", title.DurationMs, 100)
 	}
 }
 
-// Me is this director's number among Directors; 0 where it is alone, -1 where its name is missing.
+// Self returns this director's index in Directors: 0 if that list is empty, -1 if the list does not contain its name.
 func (s *Settings) Self() int {
 	if len(s.Director.Directors) == 0 {
 		return 0
@@ -646,7 +661,7 @@
 	return -1
 }
 
-// ClassNumber is the position of a class; -1 where there is none of that name.
+// ClassIndex returns the index of the named class, or -1 if there is none.
 func (s *Settings) ClassIndex(name string) int {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
@@ -656,17 +671,19 @@
 	return -1
 }
 
-// Module is the part that the decision module is given.
+// Module returns the settings of the decision module.
 func (s *Settings) Module() headmill.Config {
 	c := headmill.Config{
 		Self: max(s.Self(), 0), Fronts: max(len(s.Director.Directors), 1), Zone: s.Director.Zone,
 		RateKB: s.Ladder.RateKB, RungWorth: s.Ladder.Worth, RungChangeCostS: s.Ladder.RungChangeCostS,
-		Cells: s.Fleet.Cells, Racks: s.Fleet.Racks, StreamsByKind: s.Fleet.StreamsByKind, LinkKBPerWeight: s.Fleet.LinkKBPerWeight,
-		TotalLinkKB: s.Fleet.TotalLinkKB, UplinkKB: s.Fleet.UplinkKB, WeightsKnown: s.Fleet.WeightsKnown,
+		Cells: s.Fleet.Cells, Racks: s.Fleet.Racks, StreamsByKind: s.Fleet.StreamsByKind,
+		LinkKBPerWeight: s.Fleet.LinkKBPerWeight, TotalLinkKB: s.Fleet.TotalLinkKB, UplinkKB: s.Fleet.UplinkKB,
+		WeightsKnown:     s.Fleet.WeightsKnown,
 		ReportIntervalMs: s.Fleet.ReportIntervalMs, ReportDelayMs: s.Fleet.ReportDelayMs, WarmUpMs: s.Fleet.WarmUpMs,
 		ColdRateFraction: s.Fleet.ColdRateFraction, MaxAttempts: s.Attempts.Max, RetryAfter: s.Attempts.RetryAfter,
 		MaxRetryAfterMs: s.Attempts.MaxRetryAfterMs, RetryBudget: s.Attempts.RetryBudget,
-		RetryBudgetMin: s.Attempts.RetryBudgetMin, RetryBudgetRatio: s.Attempts.RetryBudgetRatio, RetryBudgetWindowMs: s.Attempts.RetryBudgetWindowMs,
+		RetryBudgetMin: s.Attempts.RetryBudgetMin, RetryBudgetRatio: s.Attempts.RetryBudgetRatio,
+		RetryBudgetWindowMs: s.Attempts.RetryBudgetWindowMs,
 	}
 	for i := range s.Classes {
 		k := &s.Classes[i]
