--- a/internal/cmcd/cmcd.go
+++ b/internal/cmcd/cmcd.go
@@ -1,7 +1,8 @@
-// Package cmcd reads Common Media Client Data (CTA-5004, and the keys of its
-// second version that events need): the comma-separated list of a query
-// parameter or header field, in any order of keys. It is pure and never fails as
-// a whole: unknown keys are kept apart, bad ones are named, the rest counts.
+// Package cmcd parses Common Media Client Data (CTA-5004, and those keys of its
+// version 2 that event reports need): a comma-separated list of keys, in any
+// order, from a query parameter or from header fields. It has no side effects.
+// Parsing never fails as a whole: unknown keys are returned separately, invalid
+// ones are listed by name, and all others are used.
 package cmcd
 
 import (
@@ -11,10 +12,10 @@
 	"strings"
 )
 
-// State is the player's state (version 2, key sta).
+// State is the state of a player (version 2, key sta).
 type State byte
 
-// The states of a player.
+// The states of a player; the values are those of key sta.
 const (
 	NoState     State = 0
 	Starting    State = 's'
@@ -29,55 +30,56 @@
 	Preloading  State = 'd'
 )
 
-// Record is what one list says. Figures that were not told are NaN; texts empty.
+// Record holds the values of one list. Absent numbers are NaN, absent texts are empty.
 type Record struct {
-	Bitrate    float64 // br, kbit/s: of the object requested or played
-	Buffer     float64 // bl, ms
+	Bitrate    float64 // br, kbit/s: encoded bitrate of the object requested or played
+	Buffer     float64 // bl, ms: buffer length
 	Starved    bool    // bs: the buffer ran empty since the last request
-	Throughput float64 // mtp, kbit/s measured
-	Requested  float64 // rtp, kbit/s asked for at most
+	Throughput float64 // mtp, kbit/s: measured throughput
+	Requested  float64 // rtp, kbit/s: requested maximum throughput
 	Top        float64 // tb, kbit/s of the highest rung that the player can use
-	Startup    bool    // su: needed urgently, for start-up, seek or after a stall
-	Session    string  // sid
-	Content    string  // cid
-	Rate       float64 // pr: 1 is real time
-	Deadline   float64 // dl, ms
-	Duration   float64 // d, ms
-	Version    int     // v; 1 where it is not told
+	Startup    bool    // su: needed urgently, for start-up, after a seek or after a stall
+	Session    string  // sid: session ID
+	Content    string  // cid: content ID
+	Rate       float64 // pr: playback rate; 1 is real time
+	Deadline   float64 // dl, ms: time until the buffer runs empty
+	Duration   float64 // d, ms: duration of the object
+	Version    int     // v: version of CMCD; 1 if absent
 
-	Event    string  // e, version 2
-	At       float64 // ts, ms since 1970 on the player's clock
-	Number   int64   // sn: -1 where it is not told
-	State    State   // sta
-	Starve   float64 // bsd, ms of the stall that ended
-	Delay    float64 // msd, ms from the wish to the first picture
-	Playhead float64 // pt, ms
+	Event    string  // e: type of the event (version 2)
+	At       float64 // ts, ms since the Unix epoch on the player's clock
+	Number   int64   // sn: sequence number; -1 if absent
+	State    State   // sta: state of the player
+	Starve   float64 // bsd, ms: duration of the stall that ended
+	Delay    float64 // msd, ms: start delay, from the request to the first picture
+	Playhead float64 // pt, ms: position in the content
 
-	Unknown map[string]string // keys that this version does not read, custom ones (with a hyphen) among them
-	Bad     []string          // keys whose value is not of their kind
+	Unknown map[string]string // keys that this package does not interpret, including custom ones (with a hyphen)
+	Bad     []string          // keys with a value of the wrong type or range
 }
 
-// The bounds of one list; what goes beyond is passed over and named as "(more)".
+// The bounds of one list; what exceeds them is ignored and reported as "(more)" in Bad.
 const (
-	MaxText = 2048
+	MaxText = 2048 // bytes
 	MaxKeys = 48
 )
 
-// New is a record that tells nothing.
+// New returns a record in which all keys are absent.
 func New() Record {
 	n := math.NaN()
 	return Record{Bitrate: n, Buffer: n, Throughput: n, Requested: n, Top: n, Rate: n, Deadline: n, Duration: n, At: n,
 		Starve: n, Delay: n, Playhead: n, Number: -1, Version: 1}
 }
 
-// Parse reads one list.
+// Parse parses one list.
 func Parse(text string) Record {
 	r := New()
 	r.Add(text)
 	return r
 }
 
-// FromQuery finds the list in a request's raw query (key CMCD, percent-encoded).
+// FromQuery parses the list in a request's raw query (parameter CMCD, percent-encoded); it returns false if there is
+// none.
 func FromQuery(raw string) (Record, bool) {
 	for raw != "" {
 		var part string
@@ -86,7 +88,7 @@
 			text, err := url.QueryUnescape(v)
 			if err != nil {
 				r := New()
-				r.bad("(encoding)")
+				r.markInvalid("(encoding)")
 				return r, true
 			}
 			return Parse(text), true
@@ -95,54 +97,56 @@
 	return Record{}, false
 }
 
-// FromHeaders joins the four header fields; get returns a field's value by its name.
+// FromHeaders parses the lists in the four CMCD header fields as one; get returns a field's value by its name. It
+// returns false if there is none.
 func FromHeaders(get func(string) string) (Record, bool) {
-	r, some := New(), false
+	r, found := New(), false
 	for _, name := range []string{"CMCD-Request", "CMCD-Object", "CMCD-Session", "CMCD-Status"} {
 		if v := get(name); v != "" {
 			r.Add(v)
-			some = true
+			found = true
 		}
 	}
-	return r, some
+	return r, found
 }
 
-func (r *Record) bad(key string) {
+// markInvalid adds a key to Bad, up to MaxKeys.
+func (r *Record) markInvalid(key string) {
 	if len(r.Bad) < MaxKeys {
 		r.Bad = append(r.Bad, key)
 	}
 }
 
-// Add reads one more list into the record; a key that comes again counts as it came last.
+// Add parses another list into the record; the last valid value of a repeated key is used.
 func (r *Record) Add(text string) {
 	if len(text) > MaxText {
 		text = text[:MaxText]
-		r.bad("(more)")
+		r.markInvalid("(more)")
 	}
 	for n := 0; text != ""; n++ {
 		if n >= MaxKeys {
-			r.bad("(more)")
+			r.markInvalid("(more)")
 			return
 		}
-		item, rest, closed := cut(text)
+		item, rest, closed := cutItem(text)
 		text = rest
-		key, value, has := strings.Cut(strings.TrimSpace(item), "=")
+		key, value, hasValue := strings.Cut(strings.TrimSpace(item), "=")
 		if key == "" {
 			if strings.TrimSpace(item) != "" {
-				r.bad("(empty)")
+				r.markInvalid("(empty)")
 			}
 			continue
 		}
-		if !closed || !plain(key) {
-			r.bad(clip(key))
+		if !closed || !validKey(key) {
+			r.markInvalid(truncateKey(key))
 			continue
 		}
-		r.set(key, value, has)
+		r.setField(key, value, hasValue)
 	}
 }
 
-// cut takes one item up to a comma outside of quotes; closed is false where a quote has no end.
-func cut(s string) (item, rest string, closed bool) {
+// cutItem splits off one item, up to a comma outside quotes; closed is false if a quoted string is not terminated.
+func cutItem(s string) (item, rest string, closed bool) {
 	quoted := false
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; {
@@ -157,7 +161,8 @@
 	return s, "", !quoted
 }
 
-func plain(key string) bool {
+// validKey reports whether a key has at most 64 characters, all of them letters, digits, hyphens, underscores or dots.
+func validKey(key string) bool {
 	for _, c := range key {
 		if c != '-' && c != '_' && c != '.' && (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') {
 			return false
@@ -166,10 +171,11 @@
 	return len(key) <= 64
 }
 
-func clip(s string) string { return s[:min(len(s), 32)] }
+// truncateKey bounds an invalid key for Bad.
+func truncateKey(s string) string { return s[:min(len(s), 32)] }
 
-// numbers are the keys with a figure that must not be negative.
-var numbers = map[string]func(*Record) *float64{
+// numericFields maps the keys whose value is a non-negative number to the field that holds it.
+var numericFields = map[string]func(*Record) *float64{
 	"br": func(r *Record) *float64 { return &r.Bitrate }, "bl": func(r *Record) *float64 { return &r.Buffer },
 	"mtp": func(r *Record) *float64 { return &r.Throughput }, "rtp": func(r *Record) *float64 { return &r.Requested },
 	"tb": func(r *Record) *float64 { return &r.Top }, "pr": func(r *Record) *float64 { return &r.Rate },
@@ -178,37 +184,37 @@
 	"msd": func(r *Record) *float64 { return &r.Delay }, "pt": func(r *Record) *float64 { return &r.Playhead },
 }
 
-func (r *Record) set(key, value string, has bool) {
-	if at := numbers[key]; at != nil {
-		// Version 2 gives lists for objects of several kinds, "(1000;v 128;a)": the first figure counts.
+func (r *Record) setField(key, value string, hasValue bool) {
+	if fieldOf := numericFields[key]; fieldOf != nil {
+		// Version 2 has lists for objects of several types, "(1000;v 128;a)": the first number is used.
 		v := strings.TrimPrefix(value, "(")
 		if i := strings.IndexAny(v, "; )"); i >= 0 {
 			v = v[:i]
 		}
 		f, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(f >= 0) || math.IsInf(f, 0) {
-			r.bad(key)
+			r.markInvalid(key)
 			return
 		}
-		*at(r) = f
+		*fieldOf(r) = f
 		return
 	}
 	switch key {
 	case "bs", "su":
-		on := !has || value == "true" || value == "?1"
-		if has && !on && value != "false" && value != "?0" {
-			r.bad(key)
+		flag := !hasValue || value == "true" || value == "?1"
+		if hasValue && !flag && value != "false" && value != "?0" {
+			r.markInvalid(key)
 			return
 		}
 		if key == "bs" {
-			r.Starved = on
+			r.Starved = flag
 		} else {
-			r.Startup = on
+			r.Startup = flag
 		}
 	case "sid", "cid":
 		s, ok := unquote(value)
 		if !ok || len(s) > 64 {
-			r.bad(key)
+			r.markInvalid(key)
 			return
 		}
 		if key == "sid" {
@@ -218,26 +224,26 @@
 		}
 	case "v":
 		if value != "1" && value != "2" {
-			r.bad(key)
+			r.markInvalid(key)
 			return
 		}
 		r.Version = int(value[0] - '0')
 	case "sn":
 		n, err := strconv.ParseInt(value, 10, 64)
 		if err != nil || n < 0 {
-			r.bad(key)
+			r.markInvalid(key)
 			return
 		}
 		r.Number = n
 	case "e":
 		if value == "" || len(value) > 4 {
-			r.bad(key)
+			r.markInvalid(key)
 			return
 		}
 		r.Event = value
 	case "sta":
 		if len(value) != 1 || !strings.ContainsAny(value, "spkrawefqd") {
-			r.bad(key)
+			r.markInvalid(key)
 			return
 		}
 		r.State = State(value[0])
@@ -249,7 +255,7 @@
 	}
 }
 
-// unquote reads a quoted string with its escapes (RFC 8941 section 3.3.3).
+// unquote decodes a quoted string with its escapes (RFC 8941 section 3.3.3).
 func unquote(s string) (string, bool) {
 	if len(s) < 2 || s[0] != '"' || s[len(s)-1] != '"' {
 		return "", false
--- a/internal/cmcd/cmcd_test.go
+++ b/internal/cmcd/cmcd_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestLists(t *testing.T) {
+func TestParse(t *testing.T) {
 	r := Parse(`bl=21300,br=3200,bs,cid="faec5fc2-ac30-11ea-bb37-0242ac130002",d=4004,mtp=25400,rtp=15000,` +
 		`sid="6e2fb550-c457-11e9-bb97-0800200c9a66",su,tb=6000,pr=1.08,com.example-x="a,b=\"c\"",nor="..%2F300kbps%2Ftrack.m4v"`)
 	if r.Buffer != 21300 || r.Bitrate != 3200 || !r.Starved || !r.Startup || r.Throughput != 25400 || r.Requested != 15000 ||
@@ -20,14 +20,14 @@
 		t.Errorf("bad %v, unknown %v", r.Bad, r.Unknown)
 	}
 	r = Parse(`v=2,e=ps,ts=1700000000123,sn=7,sta=r,bsd=340,msd=820,pt=12000,br=(1000;v 128;a),bs=?0`)
-	if r.Version != 2 || r.Event != "ps" || r.At != 1700000000123 || r.Number != 7 || r.State != Rebuffering || r.Starve != 340 ||
-		r.Delay != 820 || r.Playhead != 12000 || r.Bitrate != 1000 || r.Starved || len(r.Bad) != 0 {
+	if r.Version != 2 || r.Event != "ps" || r.At != 1700000000123 || r.Number != 7 || r.State != Rebuffering ||
+		r.Starve != 340 || r.Delay != 820 || r.Playhead != 12000 || r.Bitrate != 1000 || r.Starved || len(r.Bad) != 0 {
 		t.Errorf("%+v", r)
 	}
 }
 
-// Bad keys are named, one by one; the others count.
-func TestBadKeys(t *testing.T) {
+// Invalid keys are listed by name, and the other keys are still used.
+func TestInvalidKeys(t *testing.T) {
 	for text, bad := range map[string]string{
 		"bl=x,br=1":        "bl",
 		"bl=-1,br=1":       "bl",
@@ -63,14 +63,14 @@
 	}
 }
 
-func TestForms(t *testing.T) {
+func TestQueryAndHeaders(t *testing.T) {
 	text := `bl=100,sid="a b"`
 	q, ok := FromQuery("token=x&CMCD=" + url.QueryEscape(text) + "&y=1")
 	if !ok || q.Buffer != 100 || q.Session != "a b" {
 		t.Errorf("%+v", q)
 	}
 	if _, ok := FromQuery("token=x"); ok {
-		t.Error("a record out of nothing")
+		t.Error("a record without CMCD data")
 	}
 	if r, ok := FromQuery("CMCD=%zz"); !ok || len(r.Bad) != 1 {
 		t.Errorf("%+v", r)
@@ -81,7 +81,7 @@
 		t.Errorf("%+v", h)
 	}
 	if _, ok := FromHeaders(func(string) string { return "" }); ok {
-		t.Error("a record out of nothing")
+		t.Error("a record without CMCD data")
 	}
 }
 
@@ -93,14 +93,14 @@
 		for _, v := range []float64{r.Bitrate, r.Buffer, r.Throughput, r.Requested, r.Top, r.Rate, r.Deadline, r.Duration, r.At,
 			r.Starve, r.Delay, r.Playhead} {
 			if v < 0 || math.IsInf(v, 0) {
-				t.Fatalf("figure %v of %q", v, text)
+				t.Fatalf("number %v of %q is negative or infinite", v, text)
 			}
 		}
 		if len(r.Bad) > MaxKeys || len(r.Unknown) > MaxKeys || len(r.Session) > 64 || len(r.Content) > 64 {
-			t.Fatalf("%q: over its bounds: %+v", text, r)
+			t.Fatalf("%q: bounds exceeded: %+v", text, r)
 		}
 		if again := Parse(text); !reflect.DeepEqual(again.Unknown, r.Unknown) || len(again.Bad) != len(r.Bad) {
-			t.Fatalf("%q is read in two ways", text)
+			t.Fatalf("%q gives two different results", text)
 		}
 	})
 }
--- a/internal/dash/mpd.go
+++ b/internal/dash/mpd.go
@@ -1,10 +1,10 @@
-// Package dash writes and reads the manifest of one session: a Media
-// Presentation Description of ISO/IEC 23009-1 (profile isoff-live), with the
-// session's token carried to segment requests both by the flexible insertion
-// of URL parameters (Annex I, as a supplemental property) and in the segment
-// templates themselves, for players that don't know Annex I.
+// Package dash writes and parses the manifest of one session: a Media
+// Presentation Description (MPD) of ISO/IEC 23009-1 (profile isoff-live). The
+// session's token is passed on to segment requests in two ways: by flexible
+// insertion of URL parameters (Annex I, as a supplemental property), and in the
+// segment templates themselves for players that do not support Annex I.
 //
-// It is pure: bytes in, bytes out. Which representations a session may have is
+// The package has no side effects. Which representations a session may use is
 // decided elsewhere.
 package dash
 
@@ -19,20 +19,20 @@
 // Representation is one rung of the ladder.
 type Representation struct {
 	ID    string
-	KBps  float64 // kB/s; an MPD says bits a second
-	Width int
+	KBps  float64 // kB/s; the MPD's bandwidth attribute is in bit/s
+	Width int     // pixels; 0: unknown
 }
 
-// Manifest is what an MPD of headmill says.
+// Manifest holds the contents of an MPD that headmill writes.
 type Manifest struct {
-	Base       string // absolute URL of the session at its box, with a final slash
-	Token      string // carried to segments; base64url and dots
+	Base       string // absolute URL of the session on its media node, with a trailing slash
+	Token      string // passed on to segment requests; base64url and dots
 	DurationMs float64
 	SegmentMs  float64
-	Reps       []Representation // rising
+	Reps       []Representation // by increasing rate
 }
 
-// Append writes the MPD.
+// Append appends the MPD to b.
 func (m *Manifest) Append(b []byte) []byte {
 	b = append(b, `<?xml version="1.0" encoding="UTF-8"?>
 <MPD xmlns="urn:mpeg:dash:schema:mpd:2011" xmlns:up="urn:mpeg:dash:schema:urlparam:2014" type="static"`+
@@ -41,26 +41,26 @@
 	b = append(b, `" minBufferTime="`...)
 	b = appendDuration(b, m.SegmentMs)
 	b = append(b, "\">\n  <BaseURL>"...)
-	b = appendText(b, m.Base)
+	b = appendEscaped(b, m.Base)
 	b = append(b, "</BaseURL>\n  <Period id=\"0\" start=\"PT0S\">\n    <AdaptationSet id=\"1\" contentType=\"video\""+
 		" mimeType=\"video/mp4\" codecs=\"avc1.42c01f\" segmentAlignment=\"true\" startWithSAP=\"1\">\n"...)
 	if m.Token != "" {
 		b = append(b, `      <SupplementalProperty schemeIdUri="urn:mpeg:dash:urlparam:2014">`+
 			"\n        <up:UrlQueryInfo queryTemplate=\"token="...)
-		b = appendText(b, m.Token)
+		b = appendEscaped(b, m.Token)
 		b = append(b, "\"/>\n      </SupplementalProperty>\n"...)
 	}
 	b = append(b, `      <SegmentTemplate timescale="1000" startNumber="1" duration="`...)
 	b = strconv.AppendInt(b, int64(m.SegmentMs), 10)
 	b = append(b, `" initialization="$RepresentationID$/init.mp4`...)
-	b = m.appendQuery(b)
+	b = m.appendTokenQuery(b)
 	b = append(b, `" media="$RepresentationID$/$Number$.m4s`...)
-	b = m.appendQuery(b)
+	b = m.appendTokenQuery(b)
 	b = append(b, "\"/>\n"...)
 	for i := range m.Reps {
 		r := &m.Reps[i]
 		b = append(b, `      <Representation id="`...)
-		b = appendText(b, r.ID)
+		b = appendEscaped(b, r.ID)
 		b = append(b, `" bandwidth="`...)
 		b = strconv.AppendInt(b, int64(r.KBps*8000), 10)
 		if r.Width > 0 {
@@ -74,21 +74,23 @@
 	return append(b, "    </AdaptationSet>\n  </Period>\n</MPD>\n"...)
 }
 
-func (m *Manifest) appendQuery(b []byte) []byte {
+func (m *Manifest) appendTokenQuery(b []byte) []byte {
 	if m.Token == "" {
 		return b
 	}
 	b = append(b, "?token="...)
-	return appendText(b, strings.ReplaceAll(m.Token, "$", "$$")) // 5.3.9.4.4: $$ stands for one $
+	return appendEscaped(b, strings.ReplaceAll(m.Token, "$", "$$")) // section 5.3.9.4.4: $$ stands for a single $
 }
 
+// appendDuration appends an xs:duration in seconds.
 func appendDuration(b []byte, ms float64) []byte {
 	b = append(b, "PT"...)
 	b = strconv.AppendFloat(b, ms/1000, 'f', -1, 64)
 	return append(b, 'S')
 }
 
-func appendText(b []byte, s string) []byte {
+// appendEscaped appends text with the special characters of XML escaped.
+func appendEscaped(b []byte, s string) []byte {
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; c {
 		case '&':
@@ -106,6 +108,7 @@
 	return b
 }
 
+// mpdXML holds the elements and attributes of an MPD that Parse reads.
 type mpdXML struct {
 	XMLName  xml.Name `xml:"urn:mpeg:dash:schema:mpd:2011 MPD"`
 	Duration string   `xml:"mediaPresentationDuration,attr"`
@@ -128,29 +131,29 @@
 	} `xml:"Period"`
 }
 
-// Presentation is an MPD as a plain player sees it, one that does not know Annex I.
+// Presentation is an MPD as seen by a player that does not support Annex I.
 type Presentation struct {
 	Manifest
-	media, init string
-	start       int
+	mediaTemplate, initTemplate string
+	startNumber                 int
 }
 
-// Parse reads an MPD of the kind that Append writes.
+// Parse parses an MPD of the form that Append writes. Token stays empty.
 func Parse(text []byte) (*Presentation, error) {
-	var x mpdXML
-	if err := xml.Unmarshal(text, &x); err != nil {
+	var doc mpdXML
+	if err := xml.Unmarshal(text, &doc); err != nil {
 		return nil, fmt.Errorf("dash: %w", err)
 	}
-	set := &x.Period.Set
+	set := &doc.Period.Set
 	if set.Template.Media == "" || set.Template.Duration <= 0 || set.Template.Timescale <= 0 || len(set.Reps) == 0 {
 		return nil, errors.New("dash: no SegmentTemplate with media and duration, or no Representation")
 	}
-	sec, err := strconv.ParseFloat(strings.TrimSuffix(strings.TrimPrefix(x.Duration, "PT"), "S"), 64)
+	seconds, err := strconv.ParseFloat(strings.TrimSuffix(strings.TrimPrefix(doc.Duration, "PT"), "S"), 64)
 	if err != nil {
-		return nil, fmt.Errorf("dash: mediaPresentationDuration %q is not PTnS", x.Duration)
+		return nil, fmt.Errorf("dash: mediaPresentationDuration %q is not PTnS", doc.Duration)
 	}
-	p := &Presentation{media: set.Template.Media, init: set.Template.Init, start: set.Template.Start}
-	p.Base, p.DurationMs = strings.TrimSpace(x.BaseURL), sec*1000
+	p := &Presentation{mediaTemplate: set.Template.Media, initTemplate: set.Template.Init, startNumber: set.Template.Start}
+	p.Base, p.DurationMs = strings.TrimSpace(doc.BaseURL), seconds*1000
 	p.SegmentMs = set.Template.Duration / set.Template.Timescale * 1000
 	for _, r := range set.Reps {
 		p.Reps = append(p.Reps, Representation{ID: r.ID, KBps: r.Bandwidth / 8000, Width: r.Width})
@@ -158,17 +161,20 @@
 	return p, nil
 }
 
-// Segments is the number of media segments.
+// Segments returns the number of media segments.
 func (p *Presentation) Segments() int { return int((p.DurationMs + p.SegmentMs - 1) / p.SegmentMs) }
 
-// Init is the URL of a representation's initialization segment.
-func (p *Presentation) Init(rep int) string { return p.Base + expand(p.init, p.Reps[rep].ID, 0) }
+// Init returns the URL of the initialization segment of representation rep.
+func (p *Presentation) Init(rep int) string {
+	return p.Base + expandTemplate(p.initTemplate, p.Reps[rep].ID, 0)
+}
 
-// Media is the URL of a media segment, counted from 0.
+// Media returns the URL of media segment i, counted from 0, of representation rep.
 func (p *Presentation) Media(rep, i int) string {
-	return p.Base + expand(p.media, p.Reps[rep].ID, p.start+i)
+	return p.Base + expandTemplate(p.mediaTemplate, p.Reps[rep].ID, p.startNumber+i)
 }
 
-func expand(template, id string, number int) string {
+// expandTemplate replaces the identifiers of a segment template (section 5.3.9.4.4).
+func expandTemplate(template, id string, number int) string {
 	return strings.NewReplacer("$$", "$", "$RepresentationID$", id, "$Number$", strconv.Itoa(number)).Replace(template)
 }
--- a/internal/dash/mpd_test.go
+++ b/internal/dash/mpd_test.go
@@ -7,18 +7,19 @@
 	"testing"
 )
 
-func manifest() Manifest {
+func testManifest() Manifest {
 	return Manifest{Base: "http://127.0.0.1:1/v/d0.1/", Token: "a.b-_c", DurationMs: 4500, SegmentMs: 2000,
 		Reps: []Representation{{"r1", 10, 640}, {"r2", 25.5, 1280}}}
 }
 
 func TestRoundTrip(t *testing.T) {
-	m := manifest()
+	m := testManifest()
 	p, err := Parse(m.Append(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Base != m.Base || p.DurationMs != 4500 || p.SegmentMs != 2000 || len(p.Reps) != 2 || p.Reps[1] != (Representation{"r2", 25.5, 1280}) {
+	if p.Base != m.Base || p.DurationMs != 4500 || p.SegmentMs != 2000 || len(p.Reps) != 2 ||
+		p.Reps[1] != (Representation{"r2", 25.5, 1280}) {
 		t.Fatalf("%+v", p)
 	}
 	if p.Segments() != 3 {
@@ -32,10 +33,10 @@
 	}
 }
 
-// Annex I of ISO/IEC 23009-1: a supplemental property, so that a player that does not know it plays on, with
-// the query in the namespace of the scheme.
+// Annex I of ISO/IEC 23009-1: the token is in a supplemental property, so that players without support for it still
+// play, with the query in the namespace of the scheme.
 func TestURLParameters(t *testing.T) {
-	m := manifest()
+	m := testManifest()
 	text := string(m.Append(nil))
 	if !strings.Contains(text, `<SupplementalProperty schemeIdUri="urn:mpeg:dash:urlparam:2014">`) ||
 		!strings.Contains(text, `xmlns:up="urn:mpeg:dash:schema:urlparam:2014"`) ||
@@ -43,13 +44,13 @@
 		t.Error(text)
 	}
 	if strings.Contains(text, "EssentialProperty") {
-		t.Error("a player that does not know Annex I would have to refuse this manifest")
+		t.Error("a player that does not support Annex I would have to reject this manifest")
 	}
 }
 
-// What comes from outside can't end an element or begin a template identifier of its own.
-func TestHostileText(t *testing.T) {
-	m := manifest()
+// Untrusted text cannot end an element or inject a template identifier.
+func TestUntrustedTextIsEscaped(t *testing.T) {
+	m := testManifest()
 	m.Base, m.Token = `http://x/</BaseURL><a b="&`, "$Number$&\"<>"
 	text := m.Append(nil)
 	d := xml.NewDecoder(strings.NewReader(string(text)))
@@ -70,7 +71,7 @@
 }
 
 func TestParseErrors(t *testing.T) {
-	m := manifest()
+	m := testManifest()
 	good := string(m.Append(nil))
 	for name, text := range map[string]string{
 		"no XML":      "<MPD",
@@ -79,13 +80,13 @@
 		"duration":    strings.Replace(good, `mediaPresentationDuration="PT4.5S"`, `mediaPresentationDuration="P1Y"`, 1),
 	} {
 		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
 func BenchmarkAppend(b *testing.B) {
-	m := manifest()
+	m := testManifest()
 	var buf []byte
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -1,7 +1,7 @@
-// Package orca reads and writes load reports in answers: the header field
-// endpoint-load-metrics of Open Request Cost Aggregation (the xDS ORCA
-// proposal and gRFC A51), in its TEXT and JSON forms. It is pure. Figures that
-// were not told stay negative.
+// Package orca parses and formats load reports in HTTP responses: the header
+// field endpoint-load-metrics of Open Request Cost Aggregation (the xDS ORCA
+// proposal and gRFC A51), in its TEXT and JSON forms. It has no side effects.
+// Metrics that are absent are negative.
 package orca
 
 import (
@@ -14,15 +14,15 @@
 // Header is the field's name in lower case.
 const Header = "endpoint-load-metrics"
 
-// Load is what headmill's boxes report: streams that run or are being set up, and what is asked of the link
-// and of the rack's uplink over what they give.
+// Load is a media node's load report: its streams, running or being set up, and the load of its link (X0) and of its
+// rack's uplink (X1), each as the ratio of demand to capacity.
 type Load struct {
-	Present         bool
+	Present         bool // at least one of the metrics was reported
 	Streams, X0, X1 float64
 }
 
-// Parse reads a field value. What is malformed or unknown is passed over, as the format asks: a load report is
-// never a reason to lose an answer.
+// Parse parses a field value. Malformed and unknown parts are ignored, as the format requires: a load report must never
+// cause a response to be rejected.
 func Parse(v string) Load {
 	l := Load{Streams: -1, X0: -1, X1: -1}
 	form, rest, _ := strings.Cut(strings.TrimSpace(v), " ")
@@ -50,6 +50,7 @@
 	return l
 }
 
+// set stores a named metric; negative, infinite and NaN values are ignored.
 func (l *Load) set(k string, f float64) {
 	if !(f >= 0) || math.IsInf(f, 0) {
 		return
@@ -64,7 +65,7 @@
 	}
 }
 
-// Text writes a field value in the TEXT form.
+// Text formats the load as a field value in the TEXT form.
 func (l Load) Text() string {
 	b := []byte("TEXT ")
 	for _, f := range []struct {
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestForms(t *testing.T) {
+func TestParseAndText(t *testing.T) {
 	for text, want := range map[string]Load{
 		"TEXT named_metrics.inflight=3, named_metrics.x0=0.5,named_metrics.x1=1.25": {true, 3, 0.5, 1.25},
 		`JSON {"cpu_utilization": 0.3, "named_metrics": {"x0": 2}}`:                 {true, -1, 2, -1},
@@ -21,6 +21,6 @@
 	}
 	l := Load{true, 3, 0.5, -1}
 	if got := Parse(l.Text()); got != l {
-		t.Errorf("%q is read as %+v", l.Text(), got)
+		t.Errorf("%q is parsed as %+v", l.Text(), got)
 	}
 }
