--- a/internal/token/pool.go
+++ b/internal/token/pool.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Pool verifies signatures on worker goroutines. Verifying a signature costs more than all other work for a request, and
-// an event loop that did it itself would serve nothing else meanwhile. The queue is bounded: the caller has to reject
-// tokens that do not fit.
+// Pool verifies signatures on worker goroutines. Verifying a signature costs more than all other work for a request,
+// and an event loop that did it itself would serve nothing else meanwhile. The queue is bounded: the caller has to
+// reject tokens that do not fit.
 type Pool struct {
 	jobs chan job
 	post func(func())
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -206,8 +206,8 @@
 	return claims, nil
 }
 
-// Valid checks exp, nbf and iat of claims whose signature has been verified against now. iat may lie up to a minute plus
-// the leeway in the future.
+// Valid checks exp, nbf and iat of claims whose signature has been verified against now. iat may lie up to a minute
+// plus the leeway in the future.
 func (c *Checker) Valid(claims *Claims, now time.Time) error {
 	switch {
 	case !now.Before(claims.ExpiresAt.Add(c.leeway)):
