--- a/internal/audit/verify.go
+++ b/internal/audit/verify.go
@@ -98,7 +98,7 @@
 	UnderFloor     int     `json:"under_floor"`
 	RationExceeded int     `json:"ration_exceeded"`
 	Fell           int     `json:"fell"`               // media nodes that crashed during a cold start
-	Left           int     `json:"viewer_left"`        // the viewer disconnected before its answer was due
+	Left           int     `json:"viewer_left"`        // viewer disconnected before answer and deadline: none required
 	LostWith       int     `json:"lost_with_director"` // the director was killed while the request was pending
 	Plays          int     `json:"plays"`
 	Refused        int     `json:"refused"`
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -29,16 +29,16 @@
 	NotPlaying int64   `json:"not_playing"`
 }
 
-// Load asks for sessions over kept connections, one request out on each, until the time is over. requests are
-// whole HTTP requests, each used once.
-func Load(addr string, conns int, dur time.Duration, requests [][]byte) (Result, error) {
-	var next, good, other atomic.Int64
-	hist := hdrhistogram.New(1, 60_000_000, 3) // us
+// Load requests sessions over persistent connections for a given time, with one request pending on each. requests
+// are complete HTTP requests, each of which is sent once. Load fails if all of them are used before the time ends.
+func Load(addr string, conns int, duration time.Duration, requests [][]byte) (Result, error) {
+	var next, playing, notPlaying atomic.Int64
+	latencies := hdrhistogram.New(1, 60_000_000, 3) // us
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	errs := make(chan error, conns)
-	end := time.Now().Add(dur)
-	began := time.Now()
+	end := time.Now().Add(duration)
+	startedAt := time.Now()
 	for range conns {
 		wg.Add(1)
 		go func() {
@@ -49,15 +49,15 @@
 				return
 			}
 			defer c.Close()
-			own := hdrhistogram.New(1, 60_000_000, 3)
-			p := http1.NewResponses(http1.Limits{})
+			connLatencies := hdrhistogram.New(1, 60_000_000, 3)
+			parser := http1.NewResponses(http1.Limits{})
 			buf := make([]byte, 16<<10)
 			for time.Now().Before(end) {
 				i := next.Add(1) - 1
 				if i >= int64(len(requests)) {
 					break
 				}
-				at := time.Now()
+				sentAt := time.Now()
 				if _, err := c.Write(requests[i]); err != nil {
 					errs <- err
 					return
@@ -68,40 +68,40 @@
 						errs <- err
 						return
 					}
-					if _, done, err = p.Feed(buf[:n]); err != nil {
+					if _, done, err = parser.Feed(buf[:n]); err != nil {
 						errs <- err
 						return
 					}
 				}
-				if p.Msg.Status == 200 {
-					good.Add(1)
-					own.RecordValue(time.Since(at).Microseconds())
+				if parser.Msg.Status == 200 {
+					playing.Add(1)
+					connLatencies.RecordValue(time.Since(sentAt).Microseconds())
 				} else {
-					other.Add(1)
+					notPlaying.Add(1)
 				}
-				p.Next()
+				parser.Next()
 			}
 			mu.Lock()
-			hist.Merge(own)
+			latencies.Merge(connLatencies)
 			mu.Unlock()
 		}()
 	}
 	wg.Wait()
-	took := time.Since(began).Seconds()
+	elapsed := time.Since(startedAt).Seconds()
 	select {
 	case err := <-errs:
 		return Result{}, err
 	default:
 	}
 	if next.Load() >= int64(len(requests)) {
-		return Result{}, errors.New("bench: requests ran out before the time; mint more")
+		return Result{}, errors.New("bench: all prepared requests were sent before the measurement ended; prepare more")
 	}
-	return Result{Sessions: good.Load(), NotPlaying: other.Load(), PerS: float64(good.Load()) / took,
-		P50Ms: float64(hist.ValueAtQuantile(50)) / 1000, P99Ms: float64(hist.ValueAtQuantile(99)) / 1000}, nil
+	return Result{Sessions: playing.Load(), NotPlaying: notPlaying.Load(), PerS: float64(playing.Load()) / elapsed,
+		P50Ms: float64(latencies.ValueAtQuantile(50)) / 1000, P99Ms: float64(latencies.ValueAtQuantile(99)) / 1000}, nil
 }
 
-// Idle opens connections that have made one request and then do nothing, and tells the resident memory that
-// each costs the process.
+// Idle opens connections that make one request and then stay idle, and returns the resident memory in bytes that
+// each of them adds to the process.
 func Idle(addr string, pid, conns int) (float64, error) {
 	before := Resident(pid)
 	var open []net.Conn
@@ -127,45 +127,47 @@
 	return (Resident(pid) - before) / float64(conns), nil
 }
 
-// Resident is a process's resident memory in bytes (proc(5), status, VmRSS).
+// Resident returns a process's resident memory in bytes (VmRSS in /proc/PID/status), or 0 if it cannot be read.
 func Resident(pid int) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(text), "\n") {
-		if f := strings.Fields(line); len(f) > 1 && f[0] == "VmRSS:" {
-			n, _ := strconv.ParseFloat(f[1], 64)
-			return n * 1024
+		if fields := strings.Fields(line); len(fields) > 1 && fields[0] == "VmRSS:" {
+			kB, _ := strconv.ParseFloat(fields[1], 64)
+			return kB * 1024
 		}
 	}
 	return 0
 }
 
-// CPUMs is a process's processor time (proc(5), stat: utime and stime in ticks of 10 ms).
+// CPUMs returns a process's CPU time in ms, or 0 if it cannot be read. /proc/PID/stat has utime and stime in ticks
+// of 10 ms.
 func CPUMs(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	f := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	if len(f) < 13 {
+	// The fields are counted from the end of the command name, which may contain spaces.
+	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
+	if len(fields) < 13 {
 		return 0
 	}
-	u, _ := strconv.ParseFloat(f[11], 64)
-	s, _ := strconv.ParseFloat(f[12], 64)
-	return (u + s) * 10
+	user, _ := strconv.ParseFloat(fields[11], 64)
+	system, _ := strconv.ParseFloat(fields[12], 64)
+	return (user + system) * 10
 }
 
-// WaitReady waits until a server knows so many boxes.
-func WaitReady(addr string, boxes int) error {
-	c := &http.Client{Timeout: time.Second}
+// WaitReady waits until a server's health check reports at least the given number of media nodes.
+func WaitReady(addr string, nodes int) error {
+	client := &http.Client{Timeout: time.Second}
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if resp, err := c.Get("http://" + addr + "/healthz"); err == nil {
+		if resp, err := client.Get("http://" + addr + "/healthz"); err == nil {
 			var n int
 			fmt.Fscanf(resp.Body, "ok\nboxes %d\n", &n)
 			resp.Body.Close()
-			if n >= boxes {
+			if n >= nodes {
 				return nil
 			}
 		}
 	}
-	return errors.New("bench: the server is not ready after 20 s")
+	return errors.New("bench: the server's /healthz did not report all media nodes within 20 s")
 }
--- a/internal/bench/sockets.go
+++ b/internal/bench/websocket.go
@@ -16,36 +16,37 @@
 	pb "headmill/internal/api/sessionv1"
 )
 
-// SocketResult is what many players on one director cost.
+// SocketResult is the cost of many players that are connected to one director over the session API.
 type SocketResult struct {
 	Connections int     `json:"connections"`
-	BytesEach   float64 `json:"bytes_each"`   // resident memory with one session each
+	BytesEach   float64 `json:"bytes_each"`   // resident memory per connection with one session
 	OpenedPerS  float64 `json:"opened_per_s"` // sessions
 	Pushed      int64   `json:"rung_pushes"`
-	P50Ms       float64 `json:"push_p50_ms"` // from the note that caused them to the player
+	P50Ms       float64 `json:"push_p50_ms"` // from the load report that causes a rung change to its receipt
 	P99Ms       float64 `json:"push_p99_ms"`
 	MaxMs       float64 `json:"push_max_ms"`
 }
 
-// Sockets opens connections with one session each, then calls push, which makes the director change all rungs,
-// and measures when the players hear of it.
+// Sockets opens one connection with one session for each token. It then calls push, which must make the director
+// change all rungs, and measures when the players receive the changes. It waits for at most the given time, and
+// less once no more changes arrive.
 func Sockets(addr string, pid int, tokens []string, push func(), wait time.Duration) (r SocketResult, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	before := Resident(pid)
-	hist := hdrhistogram.New(1, 60_000_000, 3)
+	latencies := hdrhistogram.New(1, 60_000_000, 3) // us
 	var mu sync.Mutex
 	var pushed atomic.Int64
-	var began atomic.Int64 // of the push, ns; 0: not yet
-	gate := make(chan struct{}, 64)
+	var pushedAt atomic.Int64          // ns; 0: push has not been called
+	dialing := make(chan struct{}, 64) // limits the connections that are being opened
 	errs := make(chan error, len(tokens))
-	start := time.Now()
-	for _, tok := range tokens {
-		gate <- struct{}{}
+	startedAt := time.Now()
+	for _, token := range tokens {
+		dialing <- struct{}{}
 		go func() {
 			c, _, err := websocket.Dial(ctx, "ws://"+addr+"/session", &websocket.DialOptions{
 				Subprotocols: []string{"headmill.session.v1+proto"}, CompressionMode: websocket.CompressionDisabled,
-				HTTPHeader: http.Header{"Authorization": {"Bearer " + tok}}})
+				HTTPHeader: http.Header{"Authorization": {"Bearer " + token}}})
 			if err == nil {
 				b, _ := proto.Marshal(&pb.ClientMessage{Id: 1, Body: &pb.ClientMessage_Open{Open: &pb.Open{}}})
 				err = c.Write(ctx, websocket.MessageBinary, b)
@@ -58,9 +59,9 @@
 				}
 			}
 			if err == nil && m.GetPlaying() == nil {
-				err = fmt.Errorf("bench: %v", strings.TrimSpace(m.String()))
+				err = fmt.Errorf("bench: the director did not open the session: %v", strings.TrimSpace(m.String()))
 			}
-			<-gate
+			<-dialing
 			errs <- err
 			if err != nil {
 				return
@@ -70,13 +71,13 @@
 				if err != nil {
 					return
 				}
-				at := time.Now().UnixNano()
-				if proto.Unmarshal(b, &m) != nil || m.GetRung() == nil || began.Load() == 0 {
+				receivedAt := time.Now().UnixNano()
+				if proto.Unmarshal(b, &m) != nil || m.GetRung() == nil || pushedAt.Load() == 0 {
 					continue
 				}
 				pushed.Add(1)
 				mu.Lock()
-				hist.RecordValue((at - began.Load()) / 1000)
+				latencies.RecordValue((receivedAt - pushedAt.Load()) / 1000)
 				mu.Unlock()
 			}
 		}()
@@ -89,34 +90,19 @@
 	if err != nil {
 		return r, err
 	}
-	r.Connections, r.OpenedPerS = len(tokens), float64(len(tokens))/time.Since(start).Seconds()
+	r.Connections, r.OpenedPerS = len(tokens), float64(len(tokens))/time.Since(startedAt).Seconds()
 	time.Sleep(time.Second)
 	r.BytesEach = (Resident(pid) - before) / float64(len(tokens))
-	began.Store(time.Now().UnixNano())
+	pushedAt.Store(time.Now().UnixNano())
 	push()
-	for last, end := int64(-1), time.Now().Add(wait); time.Now().Before(end) && (pushed.Load() != last || last == 0); time.Sleep(time.Second) {
+	for last, end := int64(-1), time.Now().Add(wait); time.Now().Before(end) &&
+		(pushed.Load() != last || last == 0); time.Sleep(time.Second) {
 		last = pushed.Load()
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	r.Pushed = pushed.Load()
-	r.P50Ms, r.P99Ms = float64(hist.ValueAtQuantile(50))/1000, float64(hist.ValueAtQuantile(99))/1000
-	r.MaxMs = float64(hist.Max()) / 1000
+	r.P50Ms, r.P99Ms = float64(latencies.ValueAtQuantile(50))/1000, float64(latencies.ValueAtQuantile(99))/1000
+	r.MaxMs = float64(latencies.Max()) / 1000
 	return r, nil
 }
-
-// Overload makes a box tell every director that its link is asked for so many times what it gives.
-func (b *Node) Overload(load float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, c := range b.streams {
-		fmt.Fprintf(c, "event: link\ndata: {\"session\":\"\",\"value\":%v}\n\n", load)
-	}
-}
-
-// Hold makes sessions last until they are ended by the director.
-func (b *Node) Hold() {
-	b.mu.Lock()
-	b.hold = true
-	b.mu.Unlock()
-}
