--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,76 +8,80 @@
 	"headmill"
 )
 
-// Settings is what an instance is told at its start: the module's Config and
+// Settings is what an instance receives at its start: the module's Config and
 // the order of the load report's fields, which only the decoder needs.
 type Settings struct {
 	Config headmill.Config
 	Fields []string
 }
 
-type table struct {
-	kv  map[string]string
-	err error
+// settingsReader reads typed values by their paths. A path that is absent gives
+// the zero value; err is the first value that could not be read.
+type settingsReader struct {
+	values map[string]string
+	err    error
 }
 
-func (t *table) str(key string) string { return t.kv[key] }
+func (r *settingsReader) text(key string) string { return r.values[key] }
 
-func (t *table) num(key string) float64 {
-	v, ok := t.kv[key]
+func (r *settingsReader) number(key string) float64 {
+	v, ok := r.values[key]
 	if !ok || v == "" {
 		return 0
 	}
 	f, err := strconv.ParseFloat(v, 64)
-	if err != nil && t.err == nil {
-		t.err = fmt.Errorf("wire: setting %s: %q is no number", key, v)
+	if err != nil && r.err == nil {
+		r.err = fmt.Errorf("wire: setting %s: %q is not a number", key, v)
 	}
 	return f
 }
 
-func (t *table) int(key string) int   { return int(t.num(key)) }
-func (t *table) bool(key string) bool { return t.kv[key] == "true" }
+func (r *settingsReader) int(key string) int   { return int(r.number(key)) }
+func (r *settingsReader) bool(key string) bool { return r.values[key] == "true" }
 
-func (t *table) list(key string) []string {
-	if v := t.kv[key]; v != "" {
+func (r *settingsReader) list(key string) []string {
+	if v := r.values[key]; v != "" {
 		return strings.Split(v, ",")
 	}
 	return nil
 }
 
-func (t *table) nums(key string) []float64 {
+func (r *settingsReader) numbers(key string) []float64 {
 	var out []float64
-	for _, v := range t.list(key) {
+	for _, v := range r.list(key) {
 		f, err := strconv.ParseFloat(v, 64)
-		if err != nil && t.err == nil {
-			t.err = fmt.Errorf("wire: setting %s: %q is no number", key, v)
+		if err != nil && r.err == nil {
+			r.err = fmt.Errorf("wire: setting %s: %q is not a number", key, v)
 		}
 		out = append(out, f)
 	}
 	return out
 }
 
-// count reads the length of a list of objects, bounded by the settings' own size.
-func (t *table) count(key string) int {
-	n := t.num(key + ".count")
-	if n < 0 || n > float64(len(t.kv)) {
-		if t.err == nil {
-			t.err = fmt.Errorf("wire: setting %s.count: %v is impossible", key, n)
+// count reads the length of a list of objects. It cannot exceed the number of all settings, which keeps a wrong value
+// from claiming memory.
+func (r *settingsReader) count(key string) int {
+	n := r.number(key + ".count")
+	if n < 0 || n > float64(len(r.values)) {
+		if r.err == nil {
+			r.err = fmt.Errorf("wire: setting %s.count: %v is out of range", key, n)
 		}
 		return 0
 	}
 	return int(n)
 }
 
-func at(list []float64, i int, absent float64) float64 {
+// valueAt returns the value at index i, or fallback when the list is shorter.
+func valueAt(list []float64, i int, fallback float64) float64 {
 	if i < len(list) {
 		return list[i]
 	}
-	return absent
+	return fallback
 }
 
-// ParseSettings translates path=value lines; unknown keys are skipped.
+// ParseSettings translates path=value lines; unknown paths are skipped.
 func ParseSettings(text string) (Settings, error) {
-	kv := make(map[string]string)
+	values := make(map[string]string)
 	for _, line := range strings.Split(text, "\n") {
 		line = strings.TrimRight(line, "\r")
 		if line == "" {
@@ -87,64 +91,64 @@
 		if !ok {
 			return Settings{}, fmt.Errorf("wire: settings line %q has no '='", line)
 		}
-		kv[key] = value
+		values[key] = value
 	}
-	return ReadSettings(kv)
+	return ReadSettings(values)
 }
 
-// ReadSettings translates settings by their paths; unknown keys are skipped.
-func ReadSettings(kv map[string]string) (Settings, error) {
-	t := &table{kv: kv}
-	fam := "family_info."
-	floors, tops := t.nums(fam+"floor_by_class"), t.nums(fam+"top_by_class")
-	scales, seats := t.nums(fam+"scale_by_class"), t.nums(fam+"class_seats")
-	_, rationed := t.kv["safety.repeat_ratio"]
-	_, least := t.kv["safety.min_extra"]
-	c := headmill.Config{
-		Self: t.int("me"), Fronts: t.int("replicas_of_me"), Zone: t.int("zone"),
-		RateKB: t.nums(fam + "level_kb"), RungWorth: t.nums(fam + "ladder_worth"),
-		Cells: t.int(fam + "cells"), Racks: t.int(fam + "racks"),
-		LinkKBPerWeight: t.num(fam + "link_unit_kb"), TotalLinkKB: t.num(fam + "all_links_kb"),
-		UplinkKB: t.num(fam + "uplink_kb"), WeightsKnown: t.str("weights") != "off" && t.str("weights") != "",
-		RungChangeCostS:  t.num(fam + "switch_s"),
-		ReportIntervalMs: t.num(fam + "tell_ms"), ReportDelayMs: t.num(fam + "told_late_ms"),
-		MaxAttempts:     t.int("allowed.max_attempts"),
-		MaxRetryAfterMs: t.num("allowed.max_retry_after_ms"), RetryAfter: t.bool("allowed.retry_after"),
-		SubscribeToNodes: t.str("discovery") == "subscribe",
-		WarmUpMs:         t.num("safety.warm_within_ms"), ColdRateFraction: t.num("safety.cold_from"),
-		ColdWindowMs: t.num("safety.tip_after_ms"), ConnectTimeoutMs: t.num("allowed.connect_timeout_ms"),
-		RetryBudget: rationed || least, RetryBudgetMin: t.num("safety.min_extra"),
-		RetryBudgetRatio: t.num("safety.repeat_ratio"), RetryBudgetWindowMs: t.num("safety.look_back_ms"),
+// ReadSettings translates settings that are given by their paths; unknown paths are skipped.
+func ReadSettings(values map[string]string) (Settings, error) {
+	r := &settingsReader{values: values}
+	familyPrefix := "family_info."
+	minRungs, maxRungs := r.numbers(familyPrefix+"floor_by_class"), r.numbers(familyPrefix+"top_by_class")
+	scales, maxPerTitle := r.numbers(familyPrefix+"scale_by_class"), r.numbers(familyPrefix+"class_seats")
+	_, hasBudgetRatio := r.values["safety.repeat_ratio"]
+	_, hasBudgetMin := r.values["safety.min_extra"]
+	config := headmill.Config{
+		Self: r.int("me"), Fronts: r.int("replicas_of_me"), Zone: r.int("zone"),
+		RateKB: r.numbers(familyPrefix + "level_kb"), RungWorth: r.numbers(familyPrefix + "ladder_worth"),
+		Cells: r.int(familyPrefix + "cells"), Racks: r.int(familyPrefix + "racks"),
+		LinkKBPerWeight: r.number(familyPrefix + "link_unit_kb"), TotalLinkKB: r.number(familyPrefix + "all_links_kb"),
+		UplinkKB: r.number(familyPrefix + "uplink_kb"), WeightsKnown: r.text("weights") != "off" && r.text("weights") != "",
+		RungChangeCostS:  r.number(familyPrefix + "switch_s"),
+		ReportIntervalMs: r.number(familyPrefix + "tell_ms"), ReportDelayMs: r.number(familyPrefix + "told_late_ms"),
+		MaxAttempts:     r.int("allowed.max_attempts"),
+		MaxRetryAfterMs: r.number("allowed.max_retry_after_ms"), RetryAfter: r.bool("allowed.retry_after"),
+		SubscribeToNodes: r.text("discovery") == "subscribe",
+		WarmUpMs:         r.number("safety.warm_within_ms"), ColdRateFraction: r.number("safety.cold_from"),
+		ColdWindowMs: r.number("safety.tip_after_ms"), ConnectTimeoutMs: r.number("allowed.connect_timeout_ms"),
+		RetryBudget: hasBudgetRatio || hasBudgetMin, RetryBudgetMin: r.number("safety.min_extra"),
+		RetryBudgetRatio: r.number("safety.repeat_ratio"), RetryBudgetWindowMs: r.number("safety.look_back_ms"),
 	}
-	for _, p := range t.nums(fam + "places_by_kind") {
-		c.StreamsByKind = append(c.StreamsByKind, int(p))
+	for _, streams := range r.numbers(familyPrefix + "places_by_kind") {
+		config.StreamsByKind = append(config.StreamsByKind, int(streams))
 	}
-	for i := range t.count("categories") {
-		p := fmt.Sprintf("categories.%d.", i)
-		k := headmill.Class{TargetMs: t.num(p + "slo_ms"),
-			KeyTTLMs: t.num(p + "key_ttl_ms"), Value: t.num(p + "value"),
-			RateScale: at(scales, i, 1), MinRung: int(at(floors, i, 0)),
-			MaxRung: int(at(tops, i, float64(len(c.RateKB)-1))), MaxPerTitle: int(at(seats, i, 0))}
-		switch t.str(p + "semantics") {
+	for i := range r.count("categories") {
+		prefix := fmt.Sprintf("categories.%d.", i)
+		class := headmill.Class{TargetMs: r.number(prefix + "slo_ms"),
+			KeyTTLMs: r.number(prefix + "key_ttl_ms"), Value: r.number(prefix + "value"),
+			RateScale: valueAt(scales, i, 1), MinRung: int(valueAt(minRungs, i, 0)),
+			MaxRung: int(valueAt(maxRungs, i, float64(len(config.RateKB)-1))), MaxPerTitle: int(valueAt(maxPerTitle, i, 0))}
+		switch r.text(prefix + "semantics") {
 		case "repeatable":
 		case "by_key":
-			k.Semantics = headmill.IdempotentByKey
-		default: // a word that is not known is taken as the strictest one
-			k.Semantics = headmill.AtMostOnce
+			class.Semantics = headmill.IdempotentByKey
+		default: // an unknown value is treated as the strictest semantics
+			class.Semantics = headmill.AtMostOnce
 		}
-		switch t.str(p + "key_scope") {
+		switch r.text(prefix + "key_scope") {
 		case "zone":
-			k.KeyScope = headmill.ScopeZone
+			class.KeyScope = headmill.ScopeZone
 		case "cell":
-			k.KeyScope = headmill.ScopeCell
+			class.KeyScope = headmill.ScopeCell
 		}
-		c.Classes = append(c.Classes, k)
+		config.Classes = append(config.Classes, class)
 	}
-	for name, list := range map[string]int{"floor_by_class": len(floors), "top_by_class": len(tops),
-		"scale_by_class": len(scales), "class_seats": len(seats)} {
-		if list != 0 && list != len(c.Classes) && t.err == nil {
-			t.err = fmt.Errorf("wire: setting %s%s has %d values for %d classes", fam, name, list, len(c.Classes))
+	for name, list := range map[string]int{"floor_by_class": len(minRungs), "top_by_class": len(maxRungs),
+		"scale_by_class": len(scales), "class_seats": len(maxPerTitle)} {
+		if list != 0 && list != len(config.Classes) && r.err == nil {
+			r.err = fmt.Errorf("wire: setting %s%s has %d values for %d classes", familyPrefix, name, list, len(config.Classes))
 		}
 	}
-	return Settings{Config: c, Fields: t.list("feedback.fields")}, t.err
+	return Settings{Config: config, Fields: r.list("feedback.fields")}, r.err
 }
