--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,8 @@
-// Command benchlink runs headmill controllers on the bench's wire: batches of
-// events on standard input, one reply each on standard output.
+// Command benchlink connects headmill's decision module to the simulator: it
+// reads batches of events in the format of package wire from standard input and
+// writes one reply with the resulting actions for each batch to standard output.
+// It ends at the end of the input, and with status 1 on a batch that it cannot
+// decode or that does not fit the open instances.
 package main
 
 import (
@@ -13,14 +16,14 @@
 	"headmill/internal/wire"
 )
 
-// host holds one controller for each instance number; they share nothing.
+// host runs one controller for each open instance. Controllers share no state.
 type host struct {
-	dec   *wire.Decoder
-	enc   wire.Encoder
-	live  map[uint16]*headmill.Controller
-	queue map[uint16][]headmill.Event
-	order []uint16
-	acts  []headmill.Action
+	decoder     *wire.Decoder
+	encoder     wire.Encoder
+	controllers map[uint16]*headmill.Controller // by instance number
+	pending     map[uint16][]headmill.Event     // events of the current batch, by instance number
+	order       []uint16                        // instances in the order of their first event in the batch
+	actions     []headmill.Action
 }
 
 func main() {
@@ -30,71 +33,74 @@
 	}
 }
 
+// run serves batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	h := &host{dec: wire.NewDecoder(), live: make(map[uint16]*headmill.Controller),
-		queue: make(map[uint16][]headmill.Event)}
-	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<16)
+	h := &host{decoder: wire.NewDecoder(), controllers: make(map[uint16]*headmill.Controller),
+		pending: make(map[uint16][]headmill.Event)}
+	reader, writer := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<16)
 	for {
-		now, msgs, err := h.dec.ReadBatch(r)
+		now, msgs, err := h.decoder.ReadBatch(reader)
 		if errors.Is(err, io.EOF) && msgs == nil && !errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := h.batch(now, msgs); err != nil {
+		if err := h.handleBatch(now, msgs); err != nil {
 			return err
 		}
-		if _, err := h.enc.WriteTo(w); err != nil {
+		if _, err := h.encoder.WriteTo(writer); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
-			return fmt.Errorf("reply: %w", err)
+		if err := writer.Flush(); err != nil {
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
 
-// batch hands each instance its events in their order and gathers the actions.
-func (h *host) batch(now float64, msgs []wire.Message) error {
-	h.enc.Reset()
+// handleBatch passes each instance its events in their order and encodes the actions that result. A controller gets all
+// its events of a batch in one step.
+func (h *host) handleBatch(now float64, msgs []wire.Message) error {
+	h.encoder.Reset()
 	h.order = h.order[:0]
 	for i := range msgs {
 		m := &msgs[i]
 		switch {
 		case m.Open:
-			s, err := wire.ParseSettings(m.Settings)
+			settings, err := wire.ParseSettings(m.Settings)
 			if err != nil {
 				return err
 			}
-			c, err := headmill.New(s.Config, m.Seed)
+			controller, err := headmill.New(settings.Config, m.Seed)
 			if err != nil {
 				return err
 			}
-			h.live[m.Instance] = c
-			h.queue[m.Instance] = h.queue[m.Instance][:0]
+			h.controllers[m.Instance] = controller
+			h.pending[m.Instance] = h.pending[m.Instance][:0]
 		case m.Exit:
-			delete(h.live, m.Instance)
-			h.queue[m.Instance] = h.queue[m.Instance][:0]
+			delete(h.controllers, m.Instance)
+			h.pending[m.Instance] = h.pending[m.Instance][:0]
 		default:
-			if h.live[m.Instance] == nil {
+			if h.controllers[m.Instance] == nil {
 				return fmt.Errorf("event for instance %d, which is not open", m.Instance)
 			}
-			q := h.queue[m.Instance]
-			if len(q) == 0 {
+			events := h.pending[m.Instance]
+			if len(events) == 0 {
 				h.order = append(h.order, m.Instance)
 			}
-			h.queue[m.Instance] = append(q, m.Event)
+			h.pending[m.Instance] = append(events, m.Event)
 		}
 	}
-	for _, id := range h.order {
-		q := h.queue[id]
-		if len(q) == 0 || h.live[id] == nil { // ended in this batch, or answered already
+	for _, instance := range h.order {
+		events := h.pending[instance]
+		// Without events, the instance ended in this batch or was already handled under an earlier entry.
+		if len(events) == 0 || h.controllers[instance] == nil {
 			continue
 		}
-		h.acts = h.live[id].Step(now, q, h.acts[:0])
-		h.queue[id] = q[:0]
-		for i := range h.acts {
-			if err := h.enc.Add(id, &h.acts[i]); err != nil {
+		h.actions = h.controllers[instance].Step(now, events, h.actions[:0])
+		h.pending[instance] = events[:0]
+		for i := range h.actions {
+			if err := h.encoder.Add(instance, &h.actions[i]); err != nil {
 				return err
 			}
 		}
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -12,59 +12,63 @@
 	"family_info.cells=1\nfamily_info.racks=1\nallowed.max_attempts=3\ncategories.count=1\n" +
 	"categories.0.semantics=repeatable\ncategories.0.value=1\n"
 
-func open(instance byte, length int) []byte {
+// openRecord builds an OPEN_INSTANCE record whose settings are the first length bytes of the tail.
+func openRecord(instance byte, length int) []byte {
 	b := make([]byte, 64)
 	b[0], b[1] = 9, instance
 	binary.LittleEndian.PutUint32(b[15:], uint32(length))
 	return b
 }
 
-func frame(tail string, recs ...[]byte) []byte {
-	body := append(bytes.Join(recs, nil), tail...)
+// batch builds a whole batch with the given tail.
+func batch(tail string, records ...[]byte) []byte {
+	body := append(bytes.Join(records, nil), tail...)
 	b := binary.LittleEndian.AppendUint64(nil, math.Float64bits(1000))
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(recs)))
+	b = binary.LittleEndian.AppendUint32(b, uint32(len(records)))
 	return append(b, body...)
 }
 
-func event(code, instance byte) []byte {
+func eventRecord(code, instance byte) []byte {
 	b := make([]byte, 64)
 	b[0], b[1] = code, instance
 	return b
 }
 
-// An instance may exit and open again in one batch; what it was asked before is void.
+// An instance may exit and open again in one batch. Events that precede its exit must get no answer, and the new
+// controller must start without them.
 func TestExitAndOpenInOneBatch(t *testing.T) {
-	failed := event(7, 2)
-	failed[3] = 2
-	in := append(frame(""), frame(settings, open(2, len(settings)), failed)...)
-	in = append(in, frame(settings, event(3, 2), event(13, 2), open(2, len(settings)), failed)...)
+	listUnavailable := eventRecord(7, 2)
+	listUnavailable[3] = 2
+	input := append(batch(""), batch(settings, openRecord(2, len(settings)), listUnavailable)...)
+	input = append(input, batch(settings, eventRecord(3, 2), eventRecord(13, 2),
+		openRecord(2, len(settings)), listUnavailable)...)
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(in), &out); err != nil {
+	if err := run(bytes.NewReader(input), &out); err != nil {
 		t.Fatal(err)
 	}
-	b := out.Bytes()
-	if n := binary.LittleEndian.Uint32(b); n != 0 {
+	reply := out.Bytes()
+	if n := binary.LittleEndian.Uint32(reply); n != 0 {
 		t.Fatalf("%d actions for an empty batch", n)
 	}
-	b = b[8:]
-	for i := range 2 { // each time: subscribe again after the failed list call, and the tick; no answer
-		n, length := binary.LittleEndian.Uint32(b), binary.LittleEndian.Uint32(b[4:])
-		if n != 2 || b[8] != 11 || b[8+24] != 5 {
-			t.Fatalf("batch %d: %d actions, codes %d and %d", i, n, b[8], b[8+24])
+	reply = reply[8:]
+	for i := range 2 { // each time: a new subscription as the node list failed, and a timer; no answer
+		n, length := binary.LittleEndian.Uint32(reply), binary.LittleEndian.Uint32(reply[4:])
+		if n != 2 || reply[8] != 11 || reply[8+24] != 5 {
+			t.Fatalf("batch %d: %d actions, codes %d and %d", i, n, reply[8], reply[8+24])
 		}
-		b = b[8+length:]
+		reply = reply[8+length:]
 	}
-	if len(b) != 0 {
-		t.Fatalf("%d bytes too many", len(b))
+	if len(reply) != 0 {
+		t.Fatalf("%d bytes after the last reply", len(reply))
 	}
 }
 
-func TestPlainErrors(t *testing.T) {
+func TestInvalidInputIsAnError(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"not open": frame("", event(10, 4)),
-		"cut off":  frame("", event(10, 4))[:40],
-		"config":   frame("me=0\n", open(1, 5)),
+		"not open": batch("", eventRecord(10, 4)),
+		"cut off":  batch("", eventRecord(10, 4))[:40],
+		"config":   batch("me=0\n", openRecord(1, 5)),
 	} {
 		err := run(bytes.NewReader(in), &bytes.Buffer{})
 		if err == nil || strings.Contains(err.Error(), "panic") {
