--- a/internal/cmcd/cmcd.go
+++ b/internal/cmcd/cmcd.go
@@ -187,16 +187,16 @@
 func (r *Record) setField(key, value string, hasValue bool) {
 	if fieldOf := numericFields[key]; fieldOf != nil {
 		// Version 2 has lists for objects of several types, "(1000;v 128;a)": the first number is used.
-		v := strings.TrimPrefix(value, "(")
-		if i := strings.IndexAny(v, "; )"); i >= 0 {
-			v = v[:i]
+		number := strings.TrimPrefix(value, "(")
+		if i := strings.IndexAny(number, "; )"); i >= 0 {
+			number = number[:i]
 		}
-		f, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(f >= 0) || math.IsInf(f, 0) {
+		parsed, err := strconv.ParseFloat(number, 64)
+		if err != nil || !(parsed >= 0) || math.IsInf(parsed, 0) {
 			r.markInvalid(key)
 			return
 		}
-		*fieldOf(r) = f
+		*fieldOf(r) = parsed
 		return
 	}
 	switch key {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -332,8 +332,8 @@
 }
 
 // isKeySet reports whether the text sets a key in entry i of an array of tables.
-func isKeySet(text []byte, table string, i int, key string) bool {
-	_, ok := keyLines(text)[fmt.Sprintf("%s[%d].%s", table, i, key)]
+func isKeySet(text []byte, table string, index int, key string) bool {
+	_, ok := keyLines(text)[fmt.Sprintf("%s[%d].%s", table, index, key)]
 	return ok
 }
 
@@ -350,22 +350,22 @@
 		}
 		return errors.Join(errs...)
 	}
-	var de *toml.DecodeError
-	if errors.As(err, &de) {
-		row, _ := de.Position()
-		key := strings.Join(de.Key(), ".")
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		row, _ := decodeErr.Position()
+		key := strings.Join(decodeErr.Key(), ".")
 		if key == "" {
 			key = "syntax"
 		}
-		return SettingError{file, row, key, strings.TrimPrefix(de.Error(), "toml: ")}
+		return SettingError{file, row, key, strings.TrimPrefix(decodeErr.Error(), "toml: ")}
 	}
 	return fmt.Errorf("%s: %w", file, err)
 }
 
 // keyLines returns the line of every key by its path, for instance "times.head_ms" or "class[1].aim_ms".
 func keyLines(text []byte) map[string]int {
-	out := map[string]int{}
-	counts := map[string]int{}
+	lines := map[string]int{}
+	tableCounts := map[string]int{}
 	prefix := ""
 	p := unstable.Parser{}
 	p.Reset(text)
@@ -385,8 +385,8 @@
 		case unstable.Table:
 			prefix = name
 		case unstable.ArrayTable:
-			prefix = fmt.Sprintf("%s[%d]", name, counts[name])
-			counts[name]++
+			prefix = fmt.Sprintf("%s[%d]", name, tableCounts[name])
+			tableCounts[name]++
 		case unstable.KeyValue:
 			if prefix != "" {
 				name = prefix + "." + name
@@ -397,11 +397,11 @@
 		if e.Kind != unstable.KeyValue {
 			name = prefix
 		}
-		if _, ok := out[name]; !ok {
-			out[name] = row
+		if _, ok := lines[name]; !ok {
+			lines[name] = row
 		}
 	}
-	return out
+	return lines
 }
 
 // checker collects the errors of one file.
@@ -415,23 +415,23 @@
 // report records an error for a key, at the key's line or, if the file does not set it, at the line of its table.
 func (c *checker) report(key, format string, args ...any) {
 	line := c.lines[key]
-	for k := key; line == 0 && strings.Contains(k, "."); {
-		k = k[:strings.LastIndexByte(k, '.')]
-		line = c.lines[k]
+	for table := key; line == 0 && strings.Contains(table, "."); {
+		table = table[:strings.LastIndexByte(table, '.')]
+		line = c.lines[table]
 	}
 	c.problems = append(c.problems, SettingError{c.file, line, key, fmt.Sprintf(format, args...)})
 }
 
 // checkAddr checks an IPv4 address on the loopback interface; zeroPort permits port 0.
-func (c *checker) checkAddr(key, v string, zeroPort bool) {
-	ap, err := netip.ParseAddrPort(v)
+func (c *checker) checkAddr(key, addr string, zeroPort bool) {
+	addrPort, err := netip.ParseAddrPort(addr)
 	switch {
 	case err != nil:
-		c.report(key, "%q is not IPv4:PORT", v)
-	case !ap.Addr().Is4() || !ap.Addr().IsLoopback():
-		c.report(key, "%s is not on 127.0.0.0/8; this version serves the loopback interface only", v)
-	case ap.Port() == 0 && !zeroPort:
-		c.report(key, "%s needs a port", v)
+		c.report(key, "%q is not IPv4:PORT", addr)
+	case !addrPort.Addr().Is4() || !addrPort.Addr().IsLoopback():
+		c.report(key, "%s is not on 127.0.0.0/8; this version serves the loopback interface only", addr)
+	case addrPort.Port() == 0 && !zeroPort:
+		c.report(key, "%s needs a port", addr)
 	}
 }
 
@@ -444,30 +444,30 @@
 
 func (c *checker) checkAll() {
 	s := c.settings
-	d := &s.Director
-	if d.Name == "" {
+	director := &s.Director
+	if director.Name == "" {
 		c.report("director.name", "is needed, for instance name = \"d0\"")
 	}
-	c.checkAddr("director.listen", d.Listen, true)
-	if d.Name != "" && len(d.Directors) > 0 && s.Self() < 0 {
-		c.report("director.directors", "does not hold this director's own name %q", d.Name)
+	c.checkAddr("director.listen", director.Listen, true)
+	if director.Name != "" && len(director.Directors) > 0 && s.Self() < 0 {
+		c.report("director.directors", "does not hold this director's own name %q", director.Name)
 	}
 	seen := map[string]bool{}
-	for _, n := range d.Directors {
-		if seen[n] {
-			c.report("director.directors", "%q stands there twice", n)
+	for _, name := range director.Directors {
+		if seen[name] {
+			c.report("director.directors", "%q stands there twice", name)
 		}
-		seen[n] = true
+		seen[name] = true
 	}
-	if len(d.URLs) > 0 && len(d.URLs) != len(d.Directors) {
-		c.report("director.urls", "has %d entries for %d directors", len(d.URLs), len(d.Directors))
+	if len(director.URLs) > 0 && len(director.URLs) != len(director.Directors) {
+		c.report("director.urls", "has %d entries for %d directors", len(director.URLs), len(director.Directors))
 	}
-	if len(d.Directors) > 1 && len(d.URLs) == 0 {
+	if len(director.Directors) > 1 && len(director.URLs) == 0 {
 		c.report("director.urls", "is needed with several directors: a paid token that arrives at the wrong one is sent on")
 	}
-	for _, u := range d.URLs {
-		if !strings.HasPrefix(u, "http://") || strings.HasSuffix(u, "/") {
-			c.report("director.urls", "%q is not http://IPv4:PORT without a final slash", u)
+	for _, url := range director.URLs {
+		if !strings.HasPrefix(url, "http://") || strings.HasSuffix(url, "/") {
+			c.report("director.urls", "%q is not http://IPv4:PORT without a final slash", url)
 		}
 	}
 	c.checkAddr("list.addr", s.List.Addr, false)
@@ -539,17 +539,17 @@
 	if s.Limits.Line > s.Limits.Head {
 		c.report("limits.line", "%d is over limits.head, %d", s.Limits.Line, s.Limits.Head)
 	}
-	if d.Agent != "" {
-		c.checkAddr("director.agent", d.Agent, true)
+	if director.Agent != "" {
+		c.checkAddr("director.agent", director.Agent, true)
 	}
-	if d.Metrics != "" {
-		c.checkAddr("director.metrics", d.Metrics, true)
+	if director.Metrics != "" {
+		c.checkAddr("director.metrics", director.Metrics, true)
 	}
 	if s.Trace.Part > 1 {
 		c.report("trace.part", "%v is over 1, which is every session", s.Trace.Part)
 	}
-	if d.Operator != "" {
-		c.checkAddr("director.operator", d.Operator, true)
+	if director.Operator != "" {
+		c.checkAddr("director.operator", director.Operator, true)
 	}
 	tenantNames := map[string]bool{}
 	for i, tenant := range s.Tenants {
@@ -574,21 +574,21 @@
 }
 
 func (c *checker) checkLadder() {
-	l := &c.settings.Ladder
-	if len(l.RateKB) == 0 {
+	ladder := &c.settings.Ladder
+	if len(ladder.RateKB) == 0 {
 		c.report("ladder.rate_kb", "is needed: the rate of each rung in kB a second, rising")
 		return
 	}
-	for i, r := range l.RateKB {
-		if !(r > 0) || i > 0 && r <= l.RateKB[i-1] {
-			c.report("ladder.rate_kb", "rung %d has %v; rates must be positive and rising", i, r)
+	for i, rate := range ladder.RateKB {
+		if !(rate > 0) || i > 0 && rate <= ladder.RateKB[i-1] {
+			c.report("ladder.rate_kb", "rung %d has %v; rates must be positive and rising", i, rate)
 		}
 	}
-	if len(l.Worth) != len(l.RateKB) {
-		c.report("ladder.worth", "has %d entries for %d rungs", len(l.Worth), len(l.RateKB))
+	if len(ladder.Worth) != len(ladder.RateKB) {
+		c.report("ladder.worth", "has %d entries for %d rungs", len(ladder.Worth), len(ladder.RateKB))
 	}
-	if len(l.Width) != 0 && len(l.Width) != len(l.RateKB) {
-		c.report("ladder.width", "has %d entries for %d rungs", len(l.Width), len(l.RateKB))
+	if len(ladder.Width) != 0 && len(ladder.Width) != len(ladder.RateKB) {
+		c.report("ladder.width", "has %d entries for %d rungs", len(ladder.Width), len(ladder.RateKB))
 	}
 }
 
@@ -673,7 +673,7 @@
 
 // Module returns the settings of the decision module.
 func (s *Settings) Module() headmill.Config {
-	c := headmill.Config{
+	cfg := headmill.Config{
 		Self: max(s.Self(), 0), Fronts: max(len(s.Director.Directors), 1), Zone: s.Director.Zone,
 		RateKB: s.Ladder.RateKB, RungWorth: s.Ladder.Worth, RungChangeCostS: s.Ladder.RungChangeCostS,
 		Cells: s.Fleet.Cells, Racks: s.Fleet.Racks, StreamsByKind: s.Fleet.StreamsByKind,
@@ -686,22 +686,22 @@
 		RetryBudgetWindowMs: s.Attempts.RetryBudgetWindowMs,
 	}
 	for i := range s.Classes {
-		k := &s.Classes[i]
-		m := headmill.Class{TargetMs: k.TargetMs, KeyTTLMs: k.KeyTTLMs, Value: k.Value, RateScale: k.RateScale,
-			MinRung: k.MinRung, MaxRung: k.MaxRung, MaxPerTitle: k.MaxPerTitle}
-		switch k.Semantics {
+		class := &s.Classes[i]
+		moduleClass := headmill.Class{TargetMs: class.TargetMs, KeyTTLMs: class.KeyTTLMs, Value: class.Value,
+			RateScale: class.RateScale, MinRung: class.MinRung, MaxRung: class.MaxRung, MaxPerTitle: class.MaxPerTitle}
+		switch class.Semantics {
 		case "once":
-			m.Semantics = headmill.AtMostOnce
+			moduleClass.Semantics = headmill.AtMostOnce
 		case "by_key":
-			m.Semantics = headmill.IdempotentByKey
+			moduleClass.Semantics = headmill.IdempotentByKey
 		}
-		switch k.KeyScope {
+		switch class.KeyScope {
 		case "zone":
-			m.KeyScope = headmill.ScopeZone
+			moduleClass.KeyScope = headmill.ScopeZone
 		case "cell":
-			m.KeyScope = headmill.ScopeCell
+			moduleClass.KeyScope = headmill.ScopeCell
 		}
-		c.Classes = append(c.Classes, m)
+		cfg.Classes = append(cfg.Classes, moduleClass)
 	}
-	return c
+	return cfg
 }
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -24,9 +24,9 @@
 }
 
 func (l Limits) withDefaults(line, head, fields, body int) Limits {
-	setDefault := func(v *int, d int) {
+	setDefault := func(v *int, defaultValue int) {
 		if *v <= 0 {
-			*v = d
+			*v = defaultValue
 		}
 	}
 	setDefault(&l.Line, line)
@@ -300,8 +300,8 @@
 }
 
 // parseHead parses the first line and the header fields, each terminated by CR LF.
-func (p *Parser) parseHead(h []byte) *Error {
-	line, rest, e := cutLine(h)
+func (p *Parser) parseHead(head []byte) *Error {
+	line, rest, e := cutLine(head)
 	if e != nil {
 		return e
 	}
@@ -401,15 +401,15 @@
 	return p.parseVersion(line[targetEnd+1:])
 }
 
-func (p *Parser) parseVersion(v []byte) *Error {
-	if len(v) != 8 || !bytes.HasPrefix(v, []byte("HTTP/")) || v[6] != '.' || v[5] < '0' || v[5] > '9' ||
-		v[7] < '0' || v[7] > '9' {
+func (p *Parser) parseVersion(version []byte) *Error {
+	if len(version) != 8 || !bytes.HasPrefix(version, []byte("HTTP/")) || version[6] != '.' ||
+		version[5] < '0' || version[5] > '9' || version[7] < '0' || version[7] > '9' {
 		return badRequest("version is not HTTP/1.x")
 	}
-	if v[5] != '1' {
+	if version[5] != '1' {
 		return &Error{505, "HTTP version is not 1.x"}
 	}
-	p.Msg.Minor = int(v[7] - '0')
+	p.Msg.Minor = int(version[7] - '0')
 	return nil
 }
 
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -27,8 +27,8 @@
 	return append(append(b, host...), "\r\n"...)
 }
 
-// AppendField appends a header field. CR, LF and NUL in the value become spaces, so that an untrusted value cannot inject
-// a field or a message.
+// AppendField appends a header field. CR, LF and NUL in the value become spaces, so that an untrusted value cannot
+// inject a field or a message.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(append(b, name...), ": "...)
 	for i := 0; i < len(value); i++ {
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -63,9 +63,9 @@
 	c := &Conn{loop: l, handler: h, fd: fd, peer: sa}
 	err = unix.Connect(fd, sa)
 	c.interest = unix.EPOLLOUT
-	if cerr := l.epollCtl(unix.EPOLL_CTL_ADD, fd, c.interest); cerr != nil {
+	if ctlErr := l.epollCtl(unix.EPOLL_CTL_ADD, fd, c.interest); ctlErr != nil {
 		unix.Close(fd)
-		return nil, cerr
+		return nil, ctlErr
 	}
 	l.conns[fd] = c
 	if err != nil && err != unix.EINPROGRESS {
@@ -260,7 +260,7 @@
 	if c.state == stateClosed {
 		return
 	}
-	if err != nil && len(c.outBuf) > 0 { // an abort: reset, so that the kernel does not keep output that the peer does not read
+	if err != nil && len(c.outBuf) > 0 { // reset, so that the kernel does not keep output that the peer does not read
 		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 	c.state, c.closeErr, c.outBuf = stateClosed, err, nil
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -78,20 +78,20 @@
 
 // New returns a loop; the caller must call Run, or Close if Run is never called.
 func New() (*Loop, error) {
-	ep, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("loop: epoll: %w", err)
 	}
-	wake, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
+	wakeFD, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
-		unix.Close(ep)
+		unix.Close(epollFD)
 		return nil, fmt.Errorf("loop: eventfd: %w", err)
 	}
-	l := &Loop{epollFD: ep, wakeFD: wake, start: time.Now(), conns: map[int]*Conn{},
+	l := &Loop{epollFD: epollFD, wakeFD: wakeFD, start: time.Now(), conns: map[int]*Conn{},
 		listeners: map[int]*Listener{}, lingering: map[int]*lingeringConn{},
 		packetConns: map[int]*PacketConn{}, maxLingering: defaultMaxLingering,
 		readBuf: make([]byte, readBufferBytes), events: make([]unix.EpollEvent, maxEpollEvents)}
-	if err := l.epollCtl(unix.EPOLL_CTL_ADD, wake, unix.EPOLLIN); err != nil {
+	if err := l.epollCtl(unix.EPOLL_CTL_ADD, wakeFD, unix.EPOLLIN); err != nil {
 		return nil, err
 	}
 	l.updateNow()
@@ -200,10 +200,10 @@
 		wait := -1
 		if len(l.timers) > 0 {
 			l.updateNow()
-			if d := l.timers[0].dueMs - l.now; d <= 0 {
+			if remaining := l.timers[0].dueMs - l.now; remaining <= 0 {
 				wait = 0
 			} else {
-				wait = int(min(d+0.999, 1e9))
+				wait = int(min(remaining+0.999, 1e9))
 			}
 		}
 		if len(l.closedConns) > 0 {
@@ -296,8 +296,8 @@
 // directors, media nodes and discovery service in one /8 network.
 const localNetworkBits = 8
 
-// SetLocalAddr additionally permits addresses in the private network that contains the director's own address addr, where
-// a platform provides one. Without it, headmill listens on and connects to the loopback interface only.
+// SetLocalAddr additionally permits addresses in the private network that contains the director's own address addr,
+// where a platform provides one. Without it, headmill listens on and connects to the loopback interface only.
 func (l *Loop) SetLocalAddr(addr string) error {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -275,7 +275,7 @@
 	}
 }
 
-func TestStopClosesEverything(t *testing.T) {
+func TestStopClosesAll(t *testing.T) {
 	e := &echoHandler{}
 	l, err := New()
 	if err != nil {
@@ -384,7 +384,8 @@
 		local, addr string
 		ok          bool
 	}{{"127.0.0.1:1", "10.1.0.9:5080", false}, {"10.0.0.4:5080", "10.1.0.9:5080", true},
-		{"10.0.0.4:5080", "127.0.0.1:5080", true}, {"10.0.0.4:5080", "192.168.0.1:5080", false}, {"10.0.0.4:5080", "8.8.8.8:53", false}, {"8.8.8.8:53", "8.8.8.8:53", false},
+		{"10.0.0.4:5080", "127.0.0.1:5080", true}, {"10.0.0.4:5080", "192.168.0.1:5080", false},
+		{"10.0.0.4:5080", "8.8.8.8:53", false}, {"8.8.8.8:53", "8.8.8.8:53", false},
 		{"192.168.0.4:5080", "192.168.7.1:5080", true}, {"192.168.0.4:5080", "192.0.2.1:5080", false}} {
 		l.localNetwork = netip.Prefix{}
 		if err := l.SetLocalAddr(s.local); err != nil {
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -23,26 +23,26 @@
 
 // Parse parses a field value. Malformed and unknown parts are ignored, as the format requires: a load report must never
 // cause a response to be rejected.
-func Parse(v string) Load {
+func Parse(value string) Load {
 	l := Load{Streams: -1, X0: -1, X1: -1}
-	form, rest, _ := strings.Cut(strings.TrimSpace(v), " ")
+	form, rest, _ := strings.Cut(strings.TrimSpace(value), " ")
 	switch form {
 	case "TEXT":
 		for rest != "" {
 			var pair string
 			pair, rest, _ = strings.Cut(rest, ",")
-			if k, n, ok := strings.Cut(pair, "="); ok {
-				if f, err := strconv.ParseFloat(strings.TrimSpace(n), 64); err == nil {
-					l.set(strings.TrimPrefix(strings.TrimSpace(k), "named_metrics."), f)
+			if key, number, ok := strings.Cut(pair, "="); ok {
+				if parsed, err := strconv.ParseFloat(strings.TrimSpace(number), 64); err == nil {
+					l.set(strings.TrimPrefix(strings.TrimSpace(key), "named_metrics."), parsed)
 				}
 			}
 		}
 	case "JSON":
-		var m struct {
+		var report struct {
 			Named map[string]float64 `json:"named_metrics"`
 		}
-		if json.Unmarshal([]byte(rest), &m) == nil {
-			for k, f := range m.Named {
+		if json.Unmarshal([]byte(rest), &report) == nil {
+			for k, f := range report.Named {
 				l.set(k, f)
 			}
 		}
@@ -51,17 +51,17 @@
 }
 
 // set stores a named metric; negative, infinite and NaN values are ignored.
-func (l *Load) set(k string, f float64) {
-	if !(f >= 0) || math.IsInf(f, 0) {
+func (l *Load) set(key string, number float64) {
+	if !(number >= 0) || math.IsInf(number, 0) {
 		return
 	}
-	switch k {
+	switch key {
 	case "inflight":
-		l.Streams, l.Present = f, true
+		l.Streams, l.Present = number, true
 	case "x0":
-		l.X0, l.Present = f, true
+		l.X0, l.Present = number, true
 	case "x1":
-		l.X1, l.Present = f, true
+		l.X1, l.Present = number, true
 	}
 }
 
@@ -69,17 +69,17 @@
 func (l Load) Text() string {
 	b := []byte("TEXT ")
 	for _, f := range []struct {
-		k string
-		v float64
+		name  string
+		value float64
 	}{{"inflight", l.Streams}, {"x0", l.X0}, {"x1", l.X1}} {
-		if f.v < 0 {
+		if f.value < 0 {
 			continue
 		}
 		if len(b) > 5 {
 			b = append(b, ", "...)
 		}
-		b = append(append(append(b, "named_metrics."...), f.k...), '=')
-		b = strconv.AppendFloat(b, f.v, 'f', 4, 64)
+		b = append(append(append(b, "named_metrics."...), f.name...), '=')
+		b = strconv.AppendFloat(b, f.value, 'f', 4, 64)
 	}
 	return string(b)
 }
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -94,27 +94,27 @@
 	}
 	var keys []Key
 	seen := map[string]bool{}
-	for i, k := range set.Keys {
-		if k.Kty != "OKP" || k.Crv != "Ed25519" {
+	for i, entry := range set.Keys {
+		if entry.Kty != "OKP" || entry.Crv != "Ed25519" {
 			continue
 		}
-		if k.Kid == "" || seen[k.Kid] {
-			return nil, fmt.Errorf("token: key set: keys[%d] needs a unique kid, has %q", i, k.Kid)
+		if entry.Kid == "" || seen[entry.Kid] {
+			return nil, fmt.Errorf("token: key set: keys[%d] needs a unique kid, has %q", i, entry.Kid)
 		}
-		seen[k.Kid] = true
-		x, err := base64.RawURLEncoding.DecodeString(k.X)
+		seen[entry.Kid] = true
+		x, err := base64.RawURLEncoding.DecodeString(entry.X)
 		if err != nil || len(x) != ed25519.PublicKeySize {
-			return nil, fmt.Errorf("token: key set: key %q: x is not 32 bytes of base64url", k.Kid)
+			return nil, fmt.Errorf("token: key set: key %q: x is not 32 bytes of base64url", entry.Kid)
 		}
-		key := Key{KID: k.Kid, Public: x}
-		if k.D != "" {
-			d, err := base64.RawURLEncoding.DecodeString(k.D)
+		key := Key{KID: entry.Kid, Public: x}
+		if entry.D != "" {
+			d, err := base64.RawURLEncoding.DecodeString(entry.D)
 			if err != nil || len(d) != ed25519.SeedSize {
-				return nil, fmt.Errorf("token: key set: key %q: d is not 32 bytes of base64url", k.Kid)
+				return nil, fmt.Errorf("token: key set: key %q: d is not 32 bytes of base64url", entry.Kid)
 			}
 			key.Private = ed25519.NewKeyFromSeed(d)
 			if !key.Public.Equal(key.Private.Public()) {
-				return nil, fmt.Errorf("token: key set: key %q: the public part x does not match the private part d", k.Kid)
+				return nil, fmt.Errorf("token: key set: key %q: the public part x does not match the private part d", entry.Kid)
 			}
 		}
 		keys = append(keys, key)
@@ -128,10 +128,10 @@
 // FormatKeys encodes a JSON Web Key Set, including the private parts if private is set.
 func FormatKeys(keys []Key, private bool) []byte {
 	set := jwks{Keys: []jwk{}}
-	for _, k := range keys {
-		entry := jwk{Kty: "OKP", Crv: "Ed25519", Kid: k.KID, Use: "sig", X: base64.RawURLEncoding.EncodeToString(k.Public)}
-		if private && k.Private != nil {
-			entry.D = base64.RawURLEncoding.EncodeToString(k.Private.Seed())
+	for _, key := range keys {
+		entry := jwk{Kty: "OKP", Crv: "Ed25519", Kid: key.KID, Use: "sig", X: base64.RawURLEncoding.EncodeToString(key.Public)}
+		if private && key.Private != nil {
+			entry.D = base64.RawURLEncoding.EncodeToString(key.Private.Seed())
 		}
 		set.Keys = append(set.Keys, entry)
 	}
@@ -141,8 +141,8 @@
 
 // NewKey derives a key pair from a seed of 32 bytes.
 func NewKey(kid string, seed []byte) Key {
-	priv := ed25519.NewKeyFromSeed(seed)
-	return Key{KID: kid, Public: priv.Public().(ed25519.PublicKey), Private: priv}
+	private := ed25519.NewKeyFromSeed(seed)
+	return Key{KID: kid, Public: private.Public().(ed25519.PublicKey), Private: private}
 }
 
 // Mint validates the claims and returns them as a signed token.
@@ -153,9 +153,9 @@
 	if err := c.Validate(); err != nil {
 		return "", fmt.Errorf("token: %w", err)
 	}
-	t := jwt.NewWithClaims(jwt.SigningMethodEdDSA, &c)
-	t.Header["kid"] = k.KID
-	return t.SignedString(k.Private)
+	unsigned := jwt.NewWithClaims(jwt.SigningMethodEdDSA, &c)
+	unsigned.Header["kid"] = k.KID
+	return unsigned.SignedString(k.Private)
 }
 
 // keySet maps kid to public key. It is immutable once built, so goroutines can share it.
@@ -183,8 +183,8 @@
 // SetKeys replaces the key set and empties the cache, so that tokens verified with the old keys are verified again.
 func (c *Checker) SetKeys(keys []Key) {
 	c.keys = keySet{}
-	for _, k := range keys {
-		c.keys[k.KID] = k.Public
+	for _, key := range keys {
+		c.keys[key.KID] = key.Public
 	}
 	c.keyGeneration++
 	c.current, c.previous = map[string]*Claims{}, nil
--- a/internal/ws/ws.go
+++ b/internal/ws/ws.go
@@ -229,7 +229,7 @@
 		if !utf8.FullRune(r.partialRune) {
 			return true
 		}
-		if c, size := utf8.DecodeRune(r.partialRune); c == utf8.RuneError && size <= 1 || size != len(r.partialRune) {
+		if char, size := utf8.DecodeRune(r.partialRune); char == utf8.RuneError && size <= 1 || size != len(r.partialRune) {
 			return false
 		}
 		r.partialRune = r.partialRune[:0]
@@ -244,8 +244,8 @@
 			r.partialRune = append(r.partialRune[:0], b...)
 			return true
 		}
-		c, size := utf8.DecodeRune(b)
-		if c == utf8.RuneError && size <= 1 {
+		char, size := utf8.DecodeRune(b)
+		if char == utf8.RuneError && size <= 1 {
 			return false
 		}
 		b = b[size:]
