--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -37,10 +37,10 @@
 	readBufferBytes     = 64 << 10
 	maxEpollEvents      = 256
 	maxAcceptsPerEvent  = 64      // connections accepted per readiness event, so that a burst does not starve other sockets
-	maxReadsPerEvent    = 4       // reads of one connection per readiness event, for the same reason
 	lingerTimeoutMs     = 2000    // longest time that input is discarded after a connection was closed
 	maxLingerBytes      = 1 << 20 // most input that is discarded per lingering connection
 	defaultMaxLingering = 1024    // most lingering connections; further ones are closed at once
+	maxReadsPerEvent    = 4       // reads of one connection per readiness event, so that it does not starve other sockets
 )
 
 // ErrSlowReader is passed to Closed when buffered output exceeds the connection's limit.
