--- a/api.go
+++ b/api.go
@@ -66,20 +66,20 @@
 
 // Class is one kind of session.
 type Class struct {
-	TargetMs    float64   // time within which a set-up should play
-	Semantics   Semantics // whether a set-up may be repeated
-	KeyScope    Scope     // for IdempotentByKey: where a set-up may be repeated
-	KeyTTLMs    float64   // for IdempotentByKey: for how long
-	Value       float64   // worth of one second at a rung of worth 1
-	RateScale   float64   // factor on the rates of the ladder
-	MinRung     int       // lowest rung that may be set
-	MaxRung     int       // highest rung that may be set
-	MaxPerTitle int       // session cap for one title at a front; 0 = none
+	TargetMs       float64   // time within which a set-up should play
+	Semantics      Semantics // whether a set-up may be repeated
+	KeyScope       Scope     // for IdempotentByKey: where a set-up may be repeated
+	KeyTTLMs       float64   // for IdempotentByKey: for how long
+	ValuePerSecond float64   // worth of one second at a rung of worth 1
+	RateScale      float64   // factor on the rates of the ladder
+	MinRung        int       // lowest rung that may be set
+	MaxRung        int       // highest rung that may be set
+	MaxPerTitle    int       // session cap for one title at a front; 0 = none
 }
 
 // Config is the configuration of a front. A zero means that a value is not stated.
 type Config struct {
-	Self                int       // index of this front
+	FrontIndex          int       // index of this front
 	Fronts              int       // number of fronts
 	Zone                int       // the front's own zone, as in Node.Zone
 	Classes             []Class   // indexed by Event.Class
@@ -97,7 +97,7 @@
 	ReportDelayMs       float64   // age of a measurement on arrival
 	MaxAttempts         int       // attempts for one request
 	MaxRetryAfterMs     float64   // retry time that a refusal advises if RetryAfter is set
-	RetryAfter          bool      // refusals advise when to retry
+	AdviseRetryAfter    bool      // refusals advise when to retry
 	SubscribeToNodes    bool      // the node list must be subscribed to
 	WarmUpMs            float64   // time for which a started node is cold
 	ColdRateFraction    float64   // lowest set-up rate of a cold node, as a fraction of its streams per WarmUpMs
@@ -114,9 +114,9 @@
 
 // The health states.
 const (
-	Ready Health = iota
-	Gone
-	Draining
+	HealthReady Health = iota
+	HealthRemoved
+	HealthDraining
 )
 
 // Node is one entry of the node list.
@@ -135,14 +135,14 @@
 
 // The outcomes. Full, ConnectFailed and NeverSent prove that the set-up has not run.
 const (
-	Failed        Outcome = iota // the node answered with an error
-	Served                       // the session ended normally
-	Full                         // the node has no capacity
-	TimedOut                     // no answer in time
-	ConnectFailed                // no connection to the node
-	Reset                        // the connection broke
-	Cancelled                    // cancelled before it ended
-	NeverSent                    // the set-up did not leave the front
+	OutcomeFailed        Outcome = iota // the node answered with an error
+	OutcomeServed                       // the session ended normally
+	OutcomeFull                         // the node has no capacity
+	OutcomeTimedOut                     // no answer in time
+	OutcomeConnectFailed                // no connection to the node
+	OutcomeReset                        // the connection broke
+	OutcomeCancelled                    // cancelled before it ended
+	OutcomeNeverSent                    // the set-up did not leave the front
 )
 
 // EventKind tells which fields of an Event are set.
@@ -171,12 +171,12 @@
 	FeedbackUplinkLoad                         // load of the rack's uplink
 )
 
-// Report is the load report of a media node. Fields that it did not state are negative.
-type Report struct {
-	Present bool    // the event carries a report
-	Streams float64 // concurrent streams of all fronts
-	Link    float64 // load of the link
-	Uplink  float64 // load of the rack's uplink
+// LoadReport is the load report of a media node. Fields that it did not state are negative.
+type LoadReport struct {
+	Present    bool    // the event carries a report
+	Streams    float64 // concurrent streams of all fronts
+	LinkLoad   float64 // load of the link
+	UplinkLoad float64 // load of the rack's uplink
 }
 
 // Event is one input of a front. The events of a Step happen at its time, in order.
@@ -195,12 +195,12 @@
 	LatencyMs       float64 // time that the attempt has taken so far
 	Outcome         Outcome
 	SessionOver     bool // the session is over: no further attempt
-	Report          Report
+	LoadReport      LoadReport
 	Feedback        FeedbackKind
-	Value           float64 // of the feedback
-	Timer           uint64
+	FeedbackValue   float64 // of the feedback
+	TimerID         uint64
 	Nodes           []Node // only read during Step
-	Delta           bool   // Nodes holds changed entries only
+	NodesAreDelta   bool   // Nodes holds changed entries only
 	ListUnavailable bool   // the node list could not be read; Nodes is not used
 }
 
@@ -226,7 +226,7 @@
 	Rung         int
 	AtMs         float64 // ActSetup: time-out as a duration, 0 = until the viewer gives up; ActTimer: time
 	RetryAfterMs float64
-	Timer        uint64
+	TimerID      uint64
 	Text         string
 }
 
@@ -239,8 +239,8 @@
 		return fmt.Errorf("headmill: RateKB has %d rungs and RungWorth %d; they must have the same, at least one",
 			len(c.RateKB), len(c.RungWorth))
 	}
-	if c.Fronts < 1 || c.Self < 0 || c.Self >= c.Fronts {
-		return fmt.Errorf("headmill: Self is %d, which is no index of Fronts %d", c.Self, c.Fronts)
+	if c.Fronts < 1 || c.FrontIndex < 0 || c.FrontIndex >= c.Fronts {
+		return fmt.Errorf("headmill: FrontIndex is %d, which is no index of Fronts %d", c.FrontIndex, c.Fronts)
 	}
 	if c.Cells < 1 || c.Racks < 1 || c.MaxAttempts < 1 {
 		return fmt.Errorf("headmill: Cells %d, Racks %d and MaxAttempts %d must be positive",
@@ -263,7 +263,7 @@
 	}
 	for i, class := range c.Classes {
 		if !nonNegativeFinite(class.TargetMs) || !nonNegativeFinite(class.KeyTTLMs) ||
-			!nonNegativeFinite(class.Value) || !nonNegativeFinite(class.RateScale) {
+			!nonNegativeFinite(class.ValuePerSecond) || !nonNegativeFinite(class.RateScale) {
 			return fmt.Errorf("headmill: Classes[%d] has a negative or non-finite number", i)
 		}
 		if class.RateScale == 0 || class.MinRung < 0 || class.MinRung >= len(c.RateKB) ||
@@ -273,25 +273,24 @@
 				i, class.RateScale, class.MinRung, class.MaxRung, class.MaxPerTitle, len(c.RateKB))
 		}
 	}
-	// The names in these messages are fixed, also where they differ from the fields' names.
 	for _, field := range []struct {
 		name  string
 		value float64
 	}{
-		{"LinkUnitKB", c.LinkKBPerWeight},
-		{"AllLinksKB", c.TotalLinkKB},
+		{"LinkKBPerWeight", c.LinkKBPerWeight},
+		{"TotalLinkKB", c.TotalLinkKB},
 		{"UplinkKB", c.UplinkKB},
-		{"SwitchS", c.RungChangeCostS},
-		{"TellMs", c.ReportIntervalMs},
-		{"ToldLateMs", c.ReportDelayMs},
+		{"RungChangeCostS", c.RungChangeCostS},
+		{"ReportIntervalMs", c.ReportIntervalMs},
+		{"ReportDelayMs", c.ReportDelayMs},
 		{"MaxRetryAfterMs", c.MaxRetryAfterMs},
-		{"WarmWithinMs", c.WarmUpMs},
-		{"ColdFrom", c.ColdRateFraction},
-		{"TipMs", c.ColdWindowMs},
-		{"ConnectMs", c.ConnectTimeoutMs},
-		{"MinExtra", c.RetryBudgetMin},
-		{"RepeatRatio", c.RetryBudgetRatio},
-		{"LookBackMs", c.RetryBudgetWindowMs},
+		{"WarmUpMs", c.WarmUpMs},
+		{"ColdRateFraction", c.ColdRateFraction},
+		{"ColdWindowMs", c.ColdWindowMs},
+		{"ConnectTimeoutMs", c.ConnectTimeoutMs},
+		{"RetryBudgetMin", c.RetryBudgetMin},
+		{"RetryBudgetRatio", c.RetryBudgetRatio},
+		{"RetryBudgetWindowMs", c.RetryBudgetWindowMs},
 	} {
 		if !nonNegativeFinite(field.value) {
 			return fmt.Errorf("headmill: %s is %v; it must be finite and not negative", field.name, field.value)
--- a/api_test.go
+++ b/api_test.go
@@ -15,10 +15,10 @@
 		"RungWorth":        func(c *Config) { c.RungWorth = c.RungWorth[:1] },
 		"RateKB[1]":        func(c *Config) { c.RateKB[1] = math.NaN() },
 		"RungWorth[0]":     func(c *Config) { c.RungWorth[0] = -1 },
-		"Classes[0]":       func(c *Config) { c.Classes[0].Value = math.Inf(1) },
+		"Classes[0]":       func(c *Config) { c.Classes[0].ValuePerSecond = math.Inf(1) },
 		"MinRung 7":        func(c *Config) { c.Classes[1].MinRung = 7 },
 		"UplinkKB":         func(c *Config) { c.UplinkKB = -3 },
-		"Self is 5":        func(c *Config) { c.Self = 5 },
+		"FrontIndex is 5":  func(c *Config) { c.FrontIndex = 5 },
 		"StreamsByKind[0]": func(c *Config) { c.StreamsByKind[0] = -1 },
 		"MaxAttempts 0":    func(c *Config) { c.MaxAttempts = 0 },
 	} {
--- a/cmd/headmill/bench.go
+++ b/cmd/headmill/bench.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	// Nodes register once and send no heartbeats, hence the long timeout.
-	discoveryServer, err := discovery.Start(discovery.Config{Addr: "127.0.0.1:0", SilentMs: 1e9})
+	discoveryServer, err := discovery.Start(discovery.Config{Addr: "127.0.0.1:0", HeartbeatTimeoutMs: 1e9})
 	if err != nil {
 		return err
 	}
@@ -70,12 +70,12 @@
 		}
 		resp.Body.Close()
 	}
-	settings := cluster.Small(1, c.Nodes, 6, 60000).Base
-	settings.Director.Name, settings.Director.FirstStart, settings.List.Addr, settings.Tokens.Keys =
+	settings := cluster.SmallSpec(1, c.Nodes, 6, 60000).Base
+	settings.Director.Name, settings.Director.FirstStart, settings.Discovery.Addr, settings.Tokens.Keys =
 		"bench", true, discoveryServer.Addr(), "keys.json"
 	// Capacities are so large that they never limit a measurement.
 	settings.Fleet.StreamsByKind, settings.Fleet.TotalLinkKB, settings.Fleet.UplinkKB = []int{1000000}, 1e9, 1e9
-	settings.Limits.Entries = 1 << 20
+	settings.Limits.LedgerEntries = 1 << 20
 	settings.Log.File = filepath.Join(dir, "log")
 	for i := range settings.Classes {
 		settings.Classes[i].MaxPerTitle = 0
@@ -198,7 +198,7 @@
 		return 0, err
 	}
 	defer stop()
-	return bench.Idle(addr, cmd.Process.Pid, c.IdleConns)
+	return bench.IdleConnectionBytes(addr, cmd.Process.Pid, c.IdleConns)
 }
 
 // measureSockets measures players on the session API: the memory of each connection, and how long the director takes to
@@ -214,7 +214,7 @@
 	var tokens []string
 	for i := range c.Sockets {
 		title := &settings.Titles[i%len(settings.Titles)]
-		raw, err := key.Mint(claimsFor(title.Name, title.Class, "v", "b",
+		raw, err := key.Sign(claimsFor(title.Name, title.Class, "v", "b",
 			strconv.FormatInt(time.Now().UnixNano(), 36)+strconv.Itoa(i), 3, time.Hour))
 		if err != nil {
 			return err
@@ -222,9 +222,9 @@
 		tokens = append(tokens, raw)
 	}
 	for _, node := range nodes {
-		node.Hold()
+		node.HoldSessions()
 	}
-	result, err := bench.Sockets(addr, cmd.Process.Pid, tokens, func() {
+	result, err := bench.MeasureWebSockets(addr, cmd.Process.Pid, tokens, func() {
 		for _, node := range nodes {
 			node.Overload(3)
 		}
@@ -253,7 +253,7 @@
 			defer wg.Done()
 			for i := worker; i < n; i += workers {
 				title := &settings.Titles[i%len(settings.Titles)]
-				raw, err := key.Mint(claimsFor(title.Name, title.Class, "v", "b", runID+strconv.Itoa(i), 3, time.Hour))
+				raw, err := key.Sign(claimsFor(title.Name, title.Class, "v", "b", runID+strconv.Itoa(i), 3, time.Hour))
 				if err != nil {
 					panic(err)
 				}
@@ -286,5 +286,5 @@
 		return err
 	}
 	fmt.Printf("{\"addr\":%q}\n", listener.Addr().String())
-	return bench.ServePlain(cfg, keys, c.Nodes, listener)
+	return bench.ServeBaseline(cfg, keys, c.Nodes, listener)
 }
--- a/cmd/headmill/main_test.go
+++ b/cmd/headmill/main_test.go
@@ -50,8 +50,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	spec := cluster.Small(directors, nodes, 3, 20000)
-	spec.Exe, spec.Dir, spec.ListAddMs = exe, t.TempDir(), 0
+	spec := cluster.SmallSpec(directors, nodes, 3, 20000)
+	spec.Executable, spec.Dir, spec.ListStartDelayMs = exe, t.TempDir(), 0
 	if edit != nil {
 		edit(&spec)
 	}
@@ -71,7 +71,7 @@
 func fetchManifest(fleet *cluster.Cluster, d int, title, jti string) (int, string) {
 	for _, entry := range fleet.Spec.Base.Titles {
 		if entry.Name == title {
-			raw, err := fleet.Key.Mint(claimsFor(title, entry.Class, "v", "", jti, 3, time.Minute))
+			raw, err := fleet.Key.Sign(claimsFor(title, entry.Class, "v", "", jti, 3, time.Minute))
 			if err != nil {
 				return 0, err.Error()
 			}
@@ -94,28 +94,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	script.Rate, script.LifeS = 20, 3
+	script.Rate, script.TitleDurationS = 20, 3
 	for i := range script.Troubles { // shortened to a third, like the whole scenario
 		script.Troubles[i].AtS /= 3
-		script.Troubles[i].LenS = max(script.Troubles[i].LenS/3, 0.7)
+		script.Troubles[i].DurationS = max(script.Troubles[i].DurationS/3, 0.7)
 	}
 	script.Seconds = 10
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	run := &scenario.Run{Script: script, Exe: exe, Dir: t.TempDir(), Say: t.Logf}
+	run := &scenario.Run{Script: script, Exe: exe, Dir: t.TempDir(), Printf: t.Logf}
 	report, err := run.Play()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !report.OK() {
-		t.Errorf("rules broke: %s", strings.Join(report.Broken, "\n"))
+		t.Errorf("rules broke: %s", strings.Join(report.Violations, "\n"))
 	}
-	if report.Sockets == 0 {
+	if report.SessionAPIRequests == 0 {
 		t.Error("no viewer used the session API")
 	}
-	if report.Asked < 100 || report.Plays < 50 || report.AnsweredOnce+report.Left+report.LostWith != report.Asked ||
+	if report.Requests < 100 || report.Plays < 50 || report.AnsweredOnce+report.ViewerDisconnected+report.LostWithDirector != report.Requests ||
 		report.Setups < report.Plays/2 || report.WorthInTime <= 0.1 || report.WorthInTime > 1 {
 		t.Errorf("the report does not match a full scenario: %+v", report)
 	}
@@ -133,16 +133,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run := &scenario.Run{Script: script, Exe: exe, Dir: t.TempDir(), Say: t.Logf}
+	run := &scenario.Run{Script: script, Exe: exe, Dir: t.TempDir(), Printf: t.Logf}
 	report, err := run.Play()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%+v", *report)
 	if !report.OK() {
-		t.Errorf("rules broke: %s", strings.Join(report.Broken, "\n"))
+		t.Errorf("rules broke: %s", strings.Join(report.Violations, "\n"))
 	}
-	if report.Refused < 50 || report.RushPerS < 100 || report.ReturnsPerS >= report.RushPerS {
+	if report.Refused < 50 || report.PeakFirstRequestsPerS < 100 || report.PeakRetriesPerS >= report.PeakFirstRequestsPerS {
 		t.Errorf("no burst, or retries at a rate not below the burst's: %+v", report)
 	}
 }
@@ -158,14 +158,14 @@
 					s.Base.Fleet.WarmUpMs = 0
 				}
 			})
-			node := fleet.Boxes[0]
+			node := fleet.Nodes[0]
 			node.Proc.Kill()
 			for _, d := range fleet.Directors {
-				if err := fleet.WaitNoBoxes(d); err != nil {
+				if err := fleet.WaitNoNodes(d); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if err := fleet.StartBox(node, true); err != nil {
+			if err := fleet.StartNode(node, true); err != nil {
 				t.Fatal(err)
 			}
 			for _, d := range fleet.Directors {
@@ -240,7 +240,7 @@
 	}
 	_, rest, _ := strings.Cut(text, "<BaseURL>")
 	base, _, _ := strings.Cut(rest, "</BaseURL>")
-	raw, _ := fleet.Key.Mint(claimsFor("how-to-top-up", "howto-clip", "v", "", "free", 3, time.Minute))
+	raw, _ := fleet.Key.Sign(claimsFor("how-to-top-up", "howto-clip", "v", "", "free", 3, time.Minute))
 	segment := func() int {
 		resp, err := http.Get(base + "r0/1.m4s?token=" + raw)
 		if err != nil {
@@ -265,7 +265,7 @@
 	}
 	claims := claimsFor("payday-bonus", "bonus-clip", "v", "", paid, 3, time.Minute)
 	claims.IssuedAt.Time = claims.IssuedAt.Add(-30 * time.Second)
-	old, _ := fleet.Key.Mint(claims)
+	old, _ := fleet.Key.Sign(claims)
 	resp, err := http.Get(fleet.Directors[1].URL + "/dash/payday-bonus/manifest.mpd?token=" + old) // redirected to its owner
 	if err != nil {
 		t.Fatal(err)
@@ -302,7 +302,7 @@
 func TestIdleConnections(t *testing.T) {
 	fleet := startCluster(t, 1, 1, nil)
 	const connections = 10000
-	before := bench.Resident(fleet.Directors[0].Proc.Pid())
+	before := bench.ResidentBytes(fleet.Directors[0].Proc.Pid())
 	conns := make([]net.Conn, 0, connections)
 	defer func() {
 		for _, c := range conns {
@@ -327,7 +327,7 @@
 	if status, text := fetchManifest(fleet, 0, "how-to-top-up", "a"); status != 200 {
 		t.Fatalf("%d %s", status, text)
 	}
-	bytesEach := (bench.Resident(fleet.Directors[0].Proc.Pid()) - before) / connections
+	bytesEach := (bench.ResidentBytes(fleet.Directors[0].Proc.Pid()) - before) / connections
 	t.Logf("%.0f bytes of resident memory for each idle connection", bytesEach)
 	if bytesEach > 4096 {
 		t.Errorf("%.0f bytes for each idle connection, want at most 4096", bytesEach)
@@ -357,7 +357,7 @@
 	run(false, "token", "mint", "--keys", keys+".pub", "--title", "t", "--class", "c")
 
 	fleet := startCluster(t, 1, 1, nil)
-	settingsFile := fleet.Directors[0].Conf
+	settingsFile := fleet.Directors[0].SettingsPath
 	run(true, "check", settingsFile)
 	text, err := os.ReadFile(settingsFile)
 	if err != nil {
@@ -440,12 +440,12 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	run := &scenario.Run{Script: script, Exe: exe, Dir: dir, Say: t.Logf, Edit: func(spec *cluster.Spec) {
+	run := &scenario.Run{Script: script, Exe: exe, Dir: dir, Printf: t.Logf, EditSpec: func(spec *cluster.Spec) {
 		spec.Racks, spec.Base.Fleet.Racks = 4, 4
-		spec.Box.UplinkKB = spec.Box.LinkKB * 1.5
-		spec.Base.Fleet.UplinkKB = spec.Box.UplinkKB
-		spec.Box.Mute = true
-		spec.Base.Quality.LateMs = 3000 // short enough that windows close during the scenario
+		spec.NodeConfig.UplinkKB = spec.NodeConfig.LinkKB * 1.5
+		spec.Base.Fleet.UplinkKB = spec.NodeConfig.UplinkKB
+		spec.NodeConfig.OmitLinkLoad = true
+		spec.Base.Quality.AllowedLatenessMs = 3000 // short enough that windows close during the scenario
 		spec.Base.History = config.History{Dir: filepath.Join(dir, "history"), SegmentS: 1}
 		for i := range spec.Base.Titles { // three titles on each node, so that the same nodes have sessions in every run
 			spec.Base.Titles[i].FirstCell, spec.Base.Titles[i].Copies = i%8, 1
@@ -456,7 +456,7 @@
 		t.Fatal(err)
 	}
 	if !report.OK() {
-		t.Errorf("rules broke: %s", strings.Join(report.Broken, "\n"))
+		t.Errorf("rules broke: %s", strings.Join(report.Violations, "\n"))
 	}
 	findings, err := run.Findings()
 	if err != nil {
@@ -466,7 +466,7 @@
 	for _, finding := range findings {
 		t.Logf("%+v", finding)
 		// A director with sessions on only one node of the rack cannot tell the node from the rack.
-		if !(finding.Group == "rack" && finding.Name == "1" || finding.Group == "box" && run.RackOf(finding.Name) == 1) {
+		if !(finding.Group == "rack" && finding.Name == "1" || finding.Group == "box" && run.RackOfNode(finding.Name) == 1) {
 			t.Errorf("%s finds %s %s", finding.Director, finding.Group, finding.Name)
 		} else if !finding.Over {
 			found++
@@ -495,7 +495,7 @@
 			}
 			_, rest, _ := strings.Cut(text, "<BaseURL>")
 			base, _, _ := strings.Cut(rest, "</BaseURL>")
-			raw, _ := fleet.Key.Mint(claimsFor("how-to-top-up", "howto-clip", "v", "", jti, 3, time.Minute))
+			raw, _ := fleet.Key.Sign(claimsFor("how-to-top-up", "howto-clip", "v", "", jti, 3, time.Minute))
 			resp, err := http.Get(base + "r0/1.m4s?token=" + raw + "&CMCD=v%3D2%2Csn%3D1%2Cmtp%3D400%2Cbr%3D156%2Czz%3D1")
 			if err != nil {
 				t.Fatal(err)
--- a/cmd/headmill/quality.go
+++ b/cmd/headmill/quality.go
@@ -73,12 +73,12 @@
 	writer := tabwriter.NewWriter(os.Stdout, 2, 8, 2, ' ', 0)
 	fmt.Fprintf(writer, "worth lost\tcause\n")
 	for _, cause := range summary.Causes {
-		fmt.Fprintf(writer, "%.1f\t%s\n", cause.Lost, cause.Cause)
+		fmt.Fprintf(writer, "%.1f\t%s\n", cause.QualityLost, cause.Cause)
 	}
 	writer.Flush()
 	fmt.Printf("%d reports, start-up p50 %.0f ms, p95 %.0f ms, %.2f%% of the reports with a stall; plots in %s\n",
-		summary.Whole.Reports, summary.Whole.StartUp(0.5), summary.Whole.StartUp(0.95),
-		100*float64(summary.Whole.Stalled)/math.Max(float64(summary.Whole.Reports), 1), c.Out)
+		summary.Total.Reports, summary.Total.StartupQuantile(0.5), summary.Total.StartupQuantile(0.95),
+		100*float64(summary.Total.StalledReports)/math.Max(float64(summary.Total.Reports), 1), c.Out)
 	return nil
 }
 
@@ -156,8 +156,8 @@
 				Name: f.Name, SinceMs: f.SinceMs, Load: f.Load, Sessions: f.Sessions, Short: f.Short})
 		}
 		for _, g := range reply.Groups {
-			group := &quality.Group{Reports: g.Reports, Starts: g.Starts, StallMs: g.StallMs, Stalled: g.Stalled, Score: g.Score,
-				Lost: g.Lost, Switches: g.Switches}
+			group := &quality.Group{Reports: g.Reports, Starts: g.Starts, StallMs: g.StallMs, StalledReports: g.Stalled, QualitySum: g.Score,
+				QualityLost: g.Lost, Switches: g.Switches}
 			if err := group.Decode(g.StartUp, g.Share); err != nil {
 				return fmt.Errorf("%s: %w", c.Operators[i], err)
 			}
@@ -172,11 +172,11 @@
 	}
 	var rows []qualityRow
 	for name, g := range merged {
-		row := qualityRow{Name: name, Reports: g.Reports, Quality: roundOrZero(g.Mean()),
-			ShareP50: roundOrZero(g.Share(0.5)), ShareP05: roundOrZero(g.Share(0.05)),
-			StartP50: roundOrZero(g.StartUp(0.5)), StartP95: roundOrZero(g.StartUp(0.95)), Lost: roundOrZero(g.Lost)}
+		row := qualityRow{Name: name, Reports: g.Reports, Quality: roundOrZero(g.MeanQuality()),
+			ShareP50: roundOrZero(g.ShareQuantile(0.5)), ShareP05: roundOrZero(g.ShareQuantile(0.05)),
+			StartP50: roundOrZero(g.StartupQuantile(0.5)), StartP95: roundOrZero(g.StartupQuantile(0.95)), Lost: roundOrZero(g.QualityLost)}
 		if g.Reports > 0 {
-			row.Stalled = roundOrZero(float64(g.Stalled) / float64(g.Reports))
+			row.Stalled = roundOrZero(float64(g.StalledReports) / float64(g.Reports))
 		}
 		rows = append(rows, row)
 	}
--- a/cmd/headmill/rehearse.go
+++ b/cmd/headmill/rehearse.go
@@ -55,7 +55,7 @@
 		script.Cut(c.Seconds)
 	}
 	if c.Admission != "" {
-		script.Gate = c.Admission
+		script.AdmissionControl = c.Admission
 	}
 	dir, err := stateDir(c.State)
 	if err != nil {
@@ -66,7 +66,7 @@
 		return err
 	}
 	run := &scenario.Run{Script: script, Exe: exe, Dir: dir}
-	run.Say = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+	run.Printf = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	fmt.Fprintln(os.Stderr, "rehearsal:", script)
 	started := time.Now()
 	report, err := run.Play()
@@ -100,45 +100,45 @@
 		}
 		return "kept"
 	}
-	row("requests", report.Asked, "that reached a director whole")
+	row("requests", report.Requests, "that reached a director whole")
 	row("  answered once, in time", report.AnsweredOnce,
 		fmt.Sprintf("%d play, %d refused, %d failed, %d sent on, %d denied",
-			report.Plays, report.Refused, report.Failed, report.Elsewhere, report.Denied))
-	row("  not owed an answer", report.Left+report.LostWith,
-		fmt.Sprintf("%d viewers left first, %d went with a killed director", report.Left, report.LostWith))
+			report.Plays, report.Refused, report.Failed, report.Redirected, report.Denied))
+	row("  not owed an answer", report.ViewerDisconnected+report.LostWithDirector,
+		fmt.Sprintf("%d viewers left first, %d went with a killed director", report.ViewerDisconnected, report.LostWithDirector))
 	row("rules", "", "")
 	row("  1 unanswered or late", report.Unanswered, verdict(report.Unanswered))
 	row("  1 answered twice", report.AnsweredTwice, verdict(report.AnsweredTwice))
-	row("  2 paid set up twice", report.PaidTwice, verdict(report.PaidTwice))
+	row("  2 paid set up twice", report.AtMostOnceRepeated, verdict(report.AtMostOnceRepeated))
 	row("  2 paid refused after it may have run", report.WrongRefusals, verdict(report.WrongRefusals))
-	row("  2 two attempts out", report.TwoAttempts, verdict(report.TwoAttempts))
-	row("  3 sent to a draining or gone box", report.DrainLate, verdict(report.DrainLate))
-	row("  4 cold boxes pushed", report.ColdPushed, verdict(report.ColdPushed))
-	row("  5 seats exceeded", report.SeatsExceeded, verdict(report.SeatsExceeded))
-	row("  5 under the floor", report.UnderFloor, verdict(report.UnderFloor))
-	row("  6 attempts over the ration", report.RationExceeded, verdict(report.RationExceeded))
+	row("  2 two attempts out", report.ConcurrentAttempts, verdict(report.ConcurrentAttempts))
+	row("  3 sent to a draining or gone box", report.SetupsAfterDrain, verdict(report.SetupsAfterDrain))
+	row("  4 cold boxes pushed", report.ColdStartOverloads, verdict(report.ColdStartOverloads))
+	row("  5 seats exceeded", report.TitleCapExceeded, verdict(report.TitleCapExceeded))
+	row("  5 under the floor", report.BelowMinRung, verdict(report.BelowMinRung))
+	row("  6 attempts over the ration", report.RetryBudgetExceeded, verdict(report.RetryBudgetExceeded))
 	row("worth in time", report.WorthInTime, "of what was wanted (stand-in boxes)")
 	row("set-up, ms", fmt.Sprintf("%.1f / %.1f", report.SetupP50, report.SetupP99),
 		"p50 / p99, as the viewer's relay saw it")
-	row("first tries", report.FirstTries,
-		fmt.Sprintf("%d played in time; %d of all requests over the session API", report.FirstInTime, report.Sockets))
-	row("rush and returns, a second", fmt.Sprintf("%.0f / %.0f", report.RushPerS, report.ReturnsPerS),
+	row("first tries", report.FirstRequests,
+		fmt.Sprintf("%d played in time; %d of all requests over the session API", report.FirstRequestsInTime, report.SessionAPIRequests))
+	row("rush and returns, a second", fmt.Sprintf("%.0f / %.0f", report.PeakFirstRequestsPerS, report.PeakRetriesPerS),
 		"most first tries, most tries of viewers refused before")
-	for _, tenant := range sortedKeys(report.WorthByBrand) {
-		row("worth in time, "+tenant, report.WorthByBrand[tenant], "")
+	for _, tenant := range sortedKeys(report.WorthByTenant) {
+		row("worth in time, "+tenant, report.WorthByTenant[tenant], "")
 	}
 	row("sessions a second", report.SessionsPerS, fmt.Sprintf("%d set-ups sent", report.Setups))
 	for i, ms := range run.CPU {
 		row(fmt.Sprintf("director %d, CPU ms", i), ms, "over the process's life")
 	}
 	row("segments played", run.Stats.Segments.Load(),
-		fmt.Sprintf("%d late; %d sessions broke off", run.Stats.Stalled.Load(), run.Stats.Broken.Load()))
+		fmt.Sprintf("%d late; %d sessions broke off", run.Stats.LateSegments.Load(), run.Stats.BrokenSessions.Load()))
 	findings, err := run.Findings()
 	if err != nil {
 		row("findings", "", err.Error())
 	}
 	for i, finding := range findings { // only the first 40 are printed
-		if rack := run.RackOf(finding.Name); i < 40 && finding.Group == "box" {
+		if rack := run.RackOfNode(finding.Name); i < 40 && finding.Group == "box" {
 			finding.Name += fmt.Sprintf(" (rack %d)", rack)
 		}
 		if i < 40 {
@@ -148,8 +148,8 @@
 	}
 	row("took", elapsed.Round(100*time.Millisecond), "")
 	writer.Flush()
-	if len(report.Broken) > 0 {
-		fmt.Println("\nbroken:\n  " + strings.Join(report.Broken, "\n  "))
+	if len(report.Violations) > 0 {
+		fmt.Println("\nbroken:\n  " + strings.Join(report.Violations, "\n  "))
 		fmt.Println("\nlogs and settings are in", dir)
 	}
 }
--- a/cmd/headmill/serve.go
+++ b/cmd/headmill/serve.go
@@ -92,7 +92,7 @@
 		defer d.History.Close()
 	}
 	if cfg.Trace.File != "" {
-		if d.Trace, err = trace.Open(cfg.Trace.File, cfg.Director.Name, cfg.Trace.Part); err != nil {
+		if d.Trace, err = trace.Open(cfg.Trace.File, cfg.Director.Name, cfg.Trace.SampleRatio); err != nil {
 			return err
 		}
 		defer d.Trace.Close()
@@ -155,7 +155,7 @@
 	}
 	err = eventLoop.Run()
 	stats := d.Stats()
-	log.Info("stopped", "asked", stats.Asked, "played", stats.Played, "refused", stats.Refused, "failed", stats.Failed)
+	log.Info("stopped", "asked", stats.Requests, "played", stats.Played, "refused", stats.Refused, "failed", stats.Failed)
 	return err
 }
 
@@ -197,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	node.Fell = func() {
+	node.OnCrash = func() {
 		fmt.Fprintln(os.Stderr, "media node failed: too many set-ups while cold")
 		os.Exit(9)
 	}
--- a/cmd/headmill/token.go
+++ b/cmd/headmill/token.go
@@ -75,7 +75,7 @@
 		if c.KID != "" && key.KID != c.KID {
 			continue
 		}
-		raw, err := key.Mint(claimsFor(c.Title, c.Class, c.Viewer, c.Tenant, c.JTI, c.MaxRung, c.ValidFor))
+		raw, err := key.Sign(claimsFor(c.Title, c.Class, c.Viewer, c.Tenant, c.JTI, c.MaxRung, c.ValidFor))
 		if err != nil {
 			return err
 		}
--- a/cmd/headmill/up.go
+++ b/cmd/headmill/up.go
@@ -41,9 +41,9 @@
 	if err != nil {
 		return err
 	}
-	spec := cluster.Small(c.Directors, c.Nodes, 6, c.ClipS*1000)
-	spec.Exe, spec.Dir = exe, dir
-	spec.ListAddMs, spec.Box.IdleMs = 0, 30000
+	spec := cluster.SmallSpec(c.Directors, c.Nodes, 6, c.ClipS*1000)
+	spec.Executable, spec.Dir = exe, dir
+	spec.ListStartDelayMs, spec.NodeConfig.IdleTimeoutMs = 0, 30000
 	fleet, err := cluster.New(spec)
 	if err != nil {
 		return err
@@ -65,14 +65,14 @@
 	for _, member := range fleet.Directors {
 		out.Directors, out.Pids = append(out.Directors, member.URL), append(out.Pids, member.Proc.Pid())
 	}
-	for _, member := range fleet.Boxes {
+	for _, member := range fleet.Nodes {
 		out.Nodes = append(out.Nodes, "http://"+member.Proc.Addr)
 	}
 	tokens := []string{}
 	for i := range spec.Base.Titles {
 		t := &spec.Base.Titles[i]
 		claims := claimsFor(t.Name, t.Class, "viewer-"+strconv.Itoa(i), "demo", "", 3, time.Hour)
-		raw, err := fleet.Key.Mint(claims)
+		raw, err := fleet.Key.Sign(claims)
 		if err != nil {
 			return err
 		}
--- a/controller.go
+++ b/controller.go
@@ -132,10 +132,10 @@
 
 // failureTexts are the log texts of the outcomes that may be a node's fault.
 var failureTexts = map[Outcome]string{
-	Failed:        "answers set-ups with errors",
-	TimedOut:      "lets set-ups time out",
-	ConnectFailed: "takes no connections",
-	Reset:         "broke its sessions off",
+	OutcomeFailed:        "answers set-ups with errors",
+	OutcomeTimedOut:      "lets set-ups time out",
+	OutcomeConnectFailed: "takes no connections",
+	OutcomeReset:         "broke its sessions off",
 }
 
 // rateChange is a change of the front's own rates on a link or uplink, in kB/s at a time in ms.
@@ -304,7 +304,7 @@
 		staleAfterMs: cfg.ReportIntervalMs + cfg.ReportDelayMs + staleGraceMs}
 	for _, class := range cfg.Classes {
 		c.maxPrice = math.Max(c.maxPrice,
-			2*class.Value*cfg.RungWorth[len(cfg.RungWorth)-1]/(cfg.RateKB[0]*class.RateScale))
+			2*class.ValuePerSecond*cfg.RungWorth[len(cfg.RungWorth)-1]/(cfg.RateKB[0]*class.RateScale))
 	}
 	for i := range c.cfg.Classes {
 		for maxRung := range cfg.RateKB {
@@ -349,7 +349,8 @@
 	}
 	if !c.tickScheduled {
 		c.tickScheduled = true
-		c.actions = append(c.actions, Action{Kind: ActTimer, AtMs: now + tickIntervalMs, Timer: tickTimerID})
+		c.actions = append(c.actions,
+			Action{Kind: ActTimer, AtMs: now + tickIntervalMs, TimerID: tickTimerID})
 	}
 	return c.actions
 }
@@ -379,14 +380,14 @@
 			node.warmUpStartedAt, node.presumedDown, node.consecutiveFailures,
 				node.ejectedUntil, node.link.measured = entry.StartedAtMs, false, 0, 0, false
 		}
-		node.Node, node.unavailable = entry, entry.Health != Ready
+		node.Node, node.unavailable = entry, entry.Health != HealthReady
 	}
 	c.nodes = slices.DeleteFunc(c.nodes, func(node *nodeState) bool {
-		node.unavailable = node.unavailable || !event.Delta && !listed[node.ID]
-		if node.Health != Gone && (event.Delta || listed[node.ID]) {
+		node.unavailable = node.unavailable || !event.NodesAreDelta && !listed[node.ID]
+		if node.Health != HealthRemoved && (event.NodesAreDelta || listed[node.ID]) {
 			node.removedAt = 0
 		} else if node.removedAt == 0 {
-			node.Health, node.removedAt = Gone, c.now
+			node.Health, node.removedAt = HealthRemoved, c.now
 		} else if c.now-node.removedAt > removedNodeRetentionMs && len(node.sessions) == 0 {
 			delete(c.nodesByID, node.ID)
 		}
@@ -498,18 +499,19 @@
 }
 
 // applyLoadReport blends a node's load report into the estimates.
-func (c *Controller) applyLoadReport(node *nodeState, report *Report) {
+func (c *Controller) applyLoadReport(node *nodeState, report *LoadReport) {
 	if !report.Present {
 		return
 	}
 	at := c.now - loadReportAgeMs
-	if report.Link >= 0 {
+	if report.LinkLoad >= 0 {
 		c.recordLinkLoad(node, at,
-			report.Link+(c.linkLoad(node)-report.Link)*priorWeight(c.hasFreshLoad(node)))
+			report.LinkLoad+(c.linkLoad(node)-report.LinkLoad)*priorWeight(c.hasFreshLoad(node)))
 	}
-	if report.Uplink >= 0 {
+	if report.UplinkLoad >= 0 {
 		node.rack.uplink.recordMeasurement(at,
-			report.Uplink+(c.uplinkLoad(node.rack)-report.Uplink)*priorWeight(node.rack.uplink.measured))
+			report.UplinkLoad+
+				(c.uplinkLoad(node.rack)-report.UplinkLoad)*priorWeight(node.rack.uplink.measured))
 	}
 	if report.Streams >= 0 {
 		node.otherStreams, node.streamsReportedAt =
@@ -734,7 +736,7 @@
 
 // rungWorth is what a session earns per second at a rung.
 func (c *Controller) rungWorth(session *sessionState, rung int) float64 {
-	return session.class.Value * c.cfg.RungWorth[rung]
+	return session.class.ValuePerSecond * c.cfg.RungWorth[rung]
 }
 
 // efficientRung is the rung that earns the most per kB. No session is set up below it: it would use capacity
@@ -754,7 +756,8 @@
 func (c *Controller) rungAtPrice(class *Class, maxRung int, price float64) int {
 	best, bestSurplus := class.MinRung, math.Inf(-1)
 	for rung := class.MinRung; rung <= maxRung; rung++ {
-		if surplus := class.Value*c.cfg.RungWorth[rung] - price*c.rateKB(class, rung); surplus > bestSurplus {
+		if surplus := class.ValuePerSecond*c.cfg.RungWorth[rung] -
+			price*c.rateKB(class, rung); surplus > bestSurplus {
 			best, bestSurplus = rung, surplus
 		}
 	}
@@ -940,7 +943,8 @@
 			math.Floor(2*math.Sqrt(c.cfg.ColdWindowMs/slotMs)+2-c.cfg.ConnectTimeoutMs/slotMs))
 	}
 	fronts, slot := float64(c.cfg.Fronts), math.Floor(c.now/slotMs)
-	firstSlot := math.Mod(float64(c.cfg.Self)+float64(mix64(uint64(node.ID))%uint64(c.cfg.Fronts)), fronts)
+	firstSlot := math.Mod(
+		float64(c.cfg.FrontIndex)+float64(mix64(uint64(node.ID))%uint64(c.cfg.Fronts)), fronts)
 	age := math.Mod(math.Mod(slot-firstSlot, fronts)+fronts, fronts)
 	turnStart := (slot - age) * slotMs // one set-up is granted for each turn
 	return age < openSlots && node.lastColdSetupAt < turnStart && turnStart >= c.firstStepAt
@@ -997,7 +1001,7 @@
 func (c *Controller) rejectRequest(session *sessionState) {
 	delete(c.sessions, session.id)
 	if session.unattributedErrorNode != nil { // no further attempt will attribute the error
-		c.suspectFailure(session.unattributedErrorNode, failureTexts[Failed])
+		c.suspectFailure(session.unattributedErrorNode, failureTexts[OutcomeFailed])
 	}
 	class := session.class
 	if session.mayHaveRun && (class.Semantics == AtMostOnce ||
@@ -1006,7 +1010,7 @@
 		return
 	}
 	refusal := Action{Kind: ActRefuse, Session: session.id}
-	if c.cfg.RetryAfter {
+	if c.cfg.AdviseRetryAfter {
 		refusal.RetryAfterMs = c.cfg.MaxRetryAfterMs
 	}
 	c.actions = append(c.actions, refusal)
@@ -1027,7 +1031,7 @@
 	if session := c.sessions[event.Session]; session != nil && session.node != nil && !session.playing {
 		// The request plays here, so the earlier error was not its own fault.
 		if session.unattributedErrorNode != nil {
-			c.suspectFailure(session.unattributedErrorNode, failureTexts[Failed])
+			c.suspectFailure(session.unattributedErrorNode, failureTexts[OutcomeFailed])
 		}
 		session.playing, session.playingSince = true, c.now
 		session.node.pendingSetups--
@@ -1051,7 +1055,7 @@
 	switch event.Feedback {
 	case FeedbackRung:
 		if session != nil && session.node != nil {
-			rung := max(min(int(event.Value), len(c.cfg.RateKB)-1), 0)
+			rung := max(min(int(event.FeedbackValue), len(c.cfg.RateKB)-1), 0)
 			kb := c.rateKB(session.class, rung) - c.rateKB(session.class, session.rung)
 			session.rung = rung
 			// The rung was set earlier: the last measurement includes it, so it is no unmeasured change.
@@ -1059,11 +1063,11 @@
 			session.node.rack.uplink.ownRateKB += kb
 		}
 	case FeedbackLinkLoad:
-		c.recordLinkLoad(node, at, event.Value)
+		c.recordLinkLoad(node, at, event.FeedbackValue)
 	case FeedbackUplinkLoad:
-		node.rack.uplink.recordMeasurement(at, event.Value)
+		node.rack.uplink.recordMeasurement(at, event.FeedbackValue)
 	case FeedbackRateShare:
-		c.applyRateShare(node, event.Value)
+		c.applyRateShare(node, event.FeedbackValue)
 	}
 }
 
@@ -1098,13 +1102,13 @@
 	}
 	if node != nil {
 		if reason := failureTexts[event.Outcome]; reason != "" {
-			node.presumedDown = node.presumedDown || event.Outcome == Reset && wasPlaying ||
-				event.Outcome == ConnectFailed && node.consecutiveFailures > 0
+			node.presumedDown = node.presumedDown || event.Outcome == OutcomeReset && wasPlaying ||
+				event.Outcome == OutcomeConnectFailed && node.consecutiveFailures > 0
 			c.attributeFailure(session, node, event.Outcome, reason, wasPlaying)
 		}
-		c.applyLoadReport(node, &event.Report)
+		c.applyLoadReport(node, &event.LoadReport)
 		// Full may refer to rate, streams or queued set-ups; the answer does not say which.
-		if event.Outcome == Full {
+		if event.Outcome == OutcomeFull {
 			node.fullUntil = c.now + fullHoldMs
 		}
 	}
@@ -1113,7 +1117,7 @@
 		return
 	}
 	if outcome := event.Outcome; !session.mayHaveRun &&
-		outcome != Full && outcome != ConnectFailed && outcome != NeverSent {
+		outcome != OutcomeFull && outcome != OutcomeConnectFailed && outcome != OutcomeNeverSent {
 		session.mayHaveRun, session.mayHaveRunAt, session.mayHaveRunOn = true, c.now-event.LatencyMs, node
 	}
 	c.placeSession(session)
@@ -1126,16 +1130,16 @@
 func (c *Controller) attributeFailure(session *sessionState, node *nodeState, outcome Outcome, reason string,
 	wasPlaying bool) {
 	switch {
-	case session == nil || wasPlaying || outcome != Failed && outcome != Reset:
+	case session == nil || wasPlaying || outcome != OutcomeFailed && outcome != OutcomeReset:
 		c.eject(node, reason)
-	case outcome == Failed && session.errorCount > 0:
+	case outcome == OutcomeFailed && session.errorCount > 0:
 		session.unattributedErrorNode = nil // a second node failed it too: the request is at fault
-	case outcome == Failed && session.class.Semantics == Repeatable:
+	case outcome == OutcomeFailed && session.class.Semantics == Repeatable:
 		session.unattributedErrorNode = node
 	default:
 		c.suspectFailure(node, reason)
 	}
-	if session != nil && outcome == Failed {
+	if session != nil && outcome == OutcomeFailed {
 		session.errorCount++
 	}
 }
@@ -1240,5 +1244,5 @@
 		remainingS = (session.expectedEndAt - c.now) / 1000
 	}
 	return (c.rungWorth(session, rung)-c.rungWorth(session, session.rung))*remainingS >=
-		raisePaybackFactor*c.cfg.RungChangeCostS*session.class.Value
+		raisePaybackFactor*c.cfg.RungChangeCostS*session.class.ValuePerSecond
 }
--- a/controller_test.go
+++ b/controller_test.go
@@ -11,13 +11,13 @@
 // class 1 AtMostOnce with a cap of 2 sessions per title, class 2 IdempotentByKey within a cell.
 func testConfig() Config {
 	return Config{Fronts: 2, Classes: []Class{
-		{TargetMs: 1000, Semantics: Repeatable, Value: 1, RateScale: 1, MaxRung: 2},
-		{TargetMs: 1000, Semantics: AtMostOnce, Value: 3, RateScale: 1, MaxRung: 2, MaxPerTitle: 2},
-		{TargetMs: 1000, Semantics: IdempotentByKey, KeyScope: ScopeCell, KeyTTLMs: 2000, Value: 1,
+		{TargetMs: 1000, Semantics: Repeatable, ValuePerSecond: 1, RateScale: 1, MaxRung: 2},
+		{TargetMs: 1000, Semantics: AtMostOnce, ValuePerSecond: 3, RateScale: 1, MaxRung: 2, MaxPerTitle: 2},
+		{TargetMs: 1000, Semantics: IdempotentByKey, KeyScope: ScopeCell, KeyTTLMs: 2000, ValuePerSecond: 1,
 			RateScale: 1, MinRung: 1, MaxRung: 2}},
 		RateKB: []float64{50, 100, 200}, RungWorth: []float64{0.3, 0.6, 1}, Cells: 6, Racks: 2, StreamsByKind: []int{20},
 		LinkKBPerWeight: 1000, TotalLinkKB: 6000, UplinkKB: 3000, WeightsKnown: true, RungChangeCostS: 0.5,
-		ReportIntervalMs: 2000, ReportDelayMs: 500, MaxAttempts: 3, MaxRetryAfterMs: 800, RetryAfter: true,
+		ReportIntervalMs: 2000, ReportDelayMs: 500, MaxAttempts: 3, MaxRetryAfterMs: 800, AdviseRetryAfter: true,
 		WarmUpMs: 10000, ColdRateFraction: 0.5}
 }
 
@@ -84,7 +84,7 @@
 // reportLinkLoads reports the same link load for all nodes.
 func (f *testFront) reportLinkLoads(load float64) {
 	for _, node := range testNodes(6) {
-		f.step(Event{Kind: EvFeedback, Node: node.ID, Feedback: FeedbackLinkLoad, Value: load})
+		f.step(Event{Kind: EvFeedback, Node: node.ID, Feedback: FeedbackLinkLoad, FeedbackValue: load})
 	}
 }
 
@@ -110,15 +110,15 @@
 		t.Fatalf("the second session went to node %d, the token is at node %d", second, first)
 	}
 	front.now += 10
-	front.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 1.2})
+	front.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, FeedbackValue: 1.2})
 	front.now += 600
-	front.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 1.2})
+	front.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, FeedbackValue: 1.2})
 	_, actions = front.request(0, 42)
 	successor, _, ok := findSetup(actions)
 	if !ok || successor == first {
 		t.Fatalf("an overloaded holder kept the token (set up: %v, on node %d)", ok, successor)
 	}
-	front.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, Value: 0.1})
+	front.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, FeedbackValue: 0.1})
 	_, actions = front.request(0, 42)
 	if now, _, _ := findSetup(actions); now != successor {
 		t.Fatalf("the token moved from node %d to node %d without a failed admission test", successor, now)
@@ -127,7 +127,7 @@
 
 func TestInitialTokenHolderIsTheSameAtEveryFront(t *testing.T) {
 	oneConfig, otherConfig := testConfig(), testConfig()
-	otherConfig.Self = 1
+	otherConfig.FrontIndex = 1
 	one, other := startFront(t, oneConfig), startFront(t, otherConfig)
 	for title := uint64(1); title < 40; title++ {
 		_, oneActions := one.request(0, title)
@@ -145,7 +145,7 @@
 	front.reportLinkLoads(0.1)
 	id, actions := front.request(1, 7)
 	node, _, _ := findSetup(actions)
-	actions = front.endAttempt(id, node, Full)
+	actions = front.endAttempt(id, node, OutcomeFull)
 	if next, _, ok := findSetup(actions); !ok || next == node {
 		t.Fatalf("after Full: next set-up %v, on node %d", ok, next)
 	}
@@ -197,7 +197,7 @@
 // After an outcome that leaves open whether the set-up ran, an AtMostOnce request is neither repeated nor
 // refused, but failed. After one that proves that nothing ran it is attempted again.
 func TestAtMostOnceFailsAfterAnUncertainOutcome(t *testing.T) {
-	for _, outcome := range []Outcome{Failed, TimedOut, Reset, Cancelled} {
+	for _, outcome := range []Outcome{OutcomeFailed, OutcomeTimedOut, OutcomeReset, OutcomeCancelled} {
 		front := startFront(t, testConfig())
 		id, actions := front.request(1, 5)
 		node, _, _ := findSetup(actions)
@@ -206,7 +206,7 @@
 			t.Errorf("after outcome %d: %+v", outcome, actions)
 		}
 	}
-	for _, outcome := range []Outcome{Full, ConnectFailed} {
+	for _, outcome := range []Outcome{OutcomeFull, OutcomeConnectFailed} {
 		front := startFront(t, testConfig())
 		id, actions := front.request(1, 5)
 		node, _, _ := findSetup(actions)
@@ -220,7 +220,7 @@
 	front := startFront(t, testConfig())
 	id, actions := front.request(2, 5)
 	node, _, _ := findSetup(actions)
-	actions = front.endAttempt(id, node, TimedOut)
+	actions = front.endAttempt(id, node, OutcomeTimedOut)
 	if hasAction(actions, ActSetup) || hasAction(actions, ActRefuse) || !hasAction(actions, ActFail) {
 		t.Fatalf("key scope is a cell, and the cell has one node: %+v", actions)
 	}
@@ -230,8 +230,8 @@
 	front := startFront(t, testConfig())
 	for i := range 3 {
 		nodes := testNodes(6)[i : i+1]
-		nodes[0].Health = Draining
-		front.step(Event{Kind: EvNodes, Delta: true, Nodes: nodes})
+		nodes[0].Health = HealthDraining
+		front.step(Event{Kind: EvNodes, NodesAreDelta: true, Nodes: nodes})
 	}
 	if _, actions := front.request(0, 3); hasAction(actions, ActSetup) {
 		t.Fatal("set up on a draining node")
@@ -258,7 +258,7 @@
 		t.Fatal("a third session was set up for a title with a cap of two")
 	}
 	front.startPlaying(ids[0], nodes[0])
-	front.step(Event{Kind: EvAttemptEnded, Session: ids[0], Node: nodes[0], Outcome: Served, SessionOver: true})
+	front.step(Event{Kind: EvAttemptEnded, Session: ids[0], Node: nodes[0], Outcome: OutcomeServed, SessionOver: true})
 	if _, actions := front.request(1, 8); !hasAction(actions, ActSetup) {
 		t.Fatal("no session was set up after one of the title had ended")
 	}
@@ -283,19 +283,19 @@
 	cfg.WarmUpMs, cfg.StreamsByKind = 10000, []int{10}
 	setupTimes := []float64{}
 	for self := range cfg.Fronts {
-		cfg.Self = self
+		cfg.FrontIndex = self
 		front := startFront(t, cfg)
 		nodes := testNodes(6)
 		for i := range nodes {
-			nodes[i].Health = Gone
+			nodes[i].Health = HealthRemoved
 		}
-		nodes[0].Health, nodes[0].StartedAtMs = Ready, front.now
+		nodes[0].Health, nodes[0].StartedAtMs = HealthReady, front.now
 		front.step(Event{Kind: EvNodes, Nodes: nodes})
 		for range 900 {
 			front.now += 10
 			if _, actions := front.request(0, 1); hasAction(actions, ActSetup) {
 				setupTimes = append(setupTimes, front.now)
-				front.step(Event{Kind: EvAttemptEnded, Session: front.nextSession - 1, Node: nodes[0].ID, Outcome: Full})
+				front.step(Event{Kind: EvAttemptEnded, Session: front.nextSession - 1, Node: nodes[0].ID, Outcome: OutcomeFull})
 			}
 		}
 	}
@@ -328,7 +328,7 @@
 		if !ok {
 			continue
 		}
-		if actions = front.endAttempt(id, node, ConnectFailed); hasAction(actions, ActSetup) {
+		if actions = front.endAttempt(id, node, OutcomeConnectFailed); hasAction(actions, ActSetup) {
 			furtherAttempts++
 		}
 		front.now += 100
@@ -356,7 +356,7 @@
 // A new front gets its first measurement from a full node; nodes without one must still be used.
 func TestNodesWithoutMeasurementsAreUsed(t *testing.T) {
 	front := startFront(t, testConfig())
-	front.step(Event{Kind: EvFeedback, Node: testNodes(6)[5].ID, Feedback: FeedbackLinkLoad, Value: 1.4})
+	front.step(Event{Kind: EvFeedback, Node: testNodes(6)[5].ID, Feedback: FeedbackLinkLoad, FeedbackValue: 1.4})
 	if _, actions := front.request(0, 2); !hasAction(actions, ActSetup) {
 		t.Fatal("refused because of one overloaded node")
 	}
@@ -369,10 +369,10 @@
 	for i := range 4 {
 		front.step(Event{Kind: EvExistingSession, Session: SessionID(500 + i), Node: node, Title: 1, Copies: 3,
 			MaxRung: 2})
-		front.step(Event{Kind: EvFeedback, Session: SessionID(500 + i), Node: node, Feedback: FeedbackRung, Value: 2})
+		front.step(Event{Kind: EvFeedback, Session: SessionID(500 + i), Node: node, Feedback: FeedbackRung, FeedbackValue: 2})
 	}
 	front.now += 100
-	front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, Value: 0.85})
+	front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, FeedbackValue: 0.85})
 	if got := front.controller.linkLoad(front.controller.nodesByID[node]); math.Abs(got-0.85) > 0.01 {
 		t.Fatalf("link load %.2f, measured 0.85", got)
 	}
@@ -386,7 +386,7 @@
 		node, _, _ := findSetup(actions)
 		front.now += 50
 		events := []Event{{Kind: EvAttemptPlaying, Session: id, Node: node},
-			{Kind: EvFeedback, Session: id, Node: node, Feedback: FeedbackLinkLoad, Value: 0.5}}
+			{Kind: EvFeedback, Session: id, Node: node, Feedback: FeedbackLinkLoad, FeedbackValue: 0.5}}
 		if !playFirst {
 			events[0], events[1] = events[1], events[0]
 		}
@@ -406,7 +406,7 @@
 	front.startPlaying(id, node)
 	for range 40 {
 		front.now += 500
-		for _, action := range front.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
+		for _, action := range front.step(Event{Kind: EvTimer, TimerID: tickTimerID}) {
 			if action.Kind != ActTimer {
 				t.Fatalf("without new feedback: %+v", action)
 			}
@@ -420,12 +420,12 @@
 	for i := range 6 {
 		id := SessionID(500 + i)
 		front.step(Event{Kind: EvExistingSession, Session: id, Node: node, Title: 1, Copies: 3, MaxRung: 2},
-			Event{Kind: EvFeedback, Session: id, Node: node, Feedback: FeedbackRung, Value: 2})
+			Event{Kind: EvFeedback, Session: id, Node: node, Feedback: FeedbackRung, FeedbackValue: 2})
 	}
 	front.now += 1000
-	front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, Value: 2})
+	front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, FeedbackValue: 2})
 	changes := map[SessionID]int{}
-	for _, action := range front.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
+	for _, action := range front.step(Event{Kind: EvTimer, TimerID: tickTimerID}) {
 		if action.Kind == ActSetRung {
 			changes[action.Session]++
 		}
@@ -438,7 +438,7 @@
 			t.Errorf("session %d was changed %d times in one step", id, count)
 		}
 	}
-	for _, action := range front.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
+	for _, action := range front.step(Event{Kind: EvTimer, TimerID: tickTimerID}) {
 		if action.Kind == ActSetRung {
 			t.Fatal("a second relief before a later measurement")
 		}
@@ -450,11 +450,11 @@
 	node := testNodes(1)[0].ID
 	front.step(Event{Kind: EvExistingSession, Session: 500, Node: node, Title: 1, Copies: 3, MaxRung: 2})
 	front.now += 6000
-	front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, Value: 0.05},
-		Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackUplinkLoad, Value: 0.05})
+	front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, FeedbackValue: 0.05},
+		Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackUplinkLoad, FeedbackValue: 0.05})
 	for range 8 {
 		front.now += 250
-		for _, action := range front.step(Event{Kind: EvTimer, Timer: tickTimerID}) {
+		for _, action := range front.step(Event{Kind: EvTimer, TimerID: tickTimerID}) {
 			if action.Kind == ActSetRung && action.Session == 500 && action.Rung == 2 {
 				return
 			}
@@ -528,17 +528,17 @@
 		case choice < 4:
 			nodes := testNodes(6)
 			i := random.IntN(6)
-			nodes[i].Health = []Health{Ready, Ready, Draining, Gone}[random.IntN(4)]
+			nodes[i].Health = []Health{HealthReady, HealthReady, HealthDraining, HealthRemoved}[random.IntN(4)]
 			if random.IntN(3) == 0 {
 				nodes[i].StartedAtMs = front.now - 100
 			}
-			unavailable[nodes[i].ID] = nodes[i].Health != Ready
-			event = Event{Kind: EvNodes, Delta: true, Nodes: nodes[i : i+1]}
+			unavailable[nodes[i].ID] = nodes[i].Health != HealthReady
+			event = Event{Kind: EvNodes, NodesAreDelta: true, Nodes: nodes[i : i+1]}
 		case choice < 5:
 			event = Event{Kind: EvFeedback, Node: testNodes(6)[random.IntN(6)].ID,
-				Feedback: FeedbackKind(1 + random.IntN(4)), Value: random.Float64() * 1.5}
+				Feedback: FeedbackKind(1 + random.IntN(4)), FeedbackValue: random.Float64() * 1.5}
 		case choice < 6:
-			event = Event{Kind: EvTimer, Timer: tickTimerID}
+			event = Event{Kind: EvTimer, TimerID: tickTimerID}
 		default:
 			if len(order) == 0 {
 				continue
@@ -554,15 +554,15 @@
 				event = Event{Kind: EvAttemptPlaying, Session: id, Node: session.node}
 				break
 			}
-			outcome := []Outcome{Failed, Full, TimedOut, ConnectFailed, Reset}[random.IntN(5)]
+			outcome := []Outcome{OutcomeFailed, OutcomeFull, OutcomeTimedOut, OutcomeConnectFailed, OutcomeReset}[random.IntN(5)]
 			if late {
-				outcome = TimedOut
+				outcome = OutcomeTimedOut
 			}
 			if session.playing {
-				outcome = []Outcome{Served, Reset, Cancelled}[random.IntN(3)]
+				outcome = []Outcome{OutcomeServed, OutcomeReset, OutcomeCancelled}[random.IntN(3)]
 			}
 			session.attemptOpen = false
-			session.mayHaveRun = session.mayHaveRun || outcome != Full && outcome != ConnectFailed
+			session.mayHaveRun = session.mayHaveRun || outcome != OutcomeFull && outcome != OutcomeConnectFailed
 			event = Event{Kind: EvAttemptEnded, Session: id, Node: session.node, Outcome: outcome,
 				SessionOver: session.playing}
 			if session.playing {
@@ -645,8 +645,8 @@
 	node := testNodes(1)[0].ID
 	front.reportLinkLoads(0.4)
 	front.now += 1000
-	front.step(Event{Kind: EvAttemptEnded, Session: 77, Node: node, Outcome: Served, SessionOver: true,
-		Report: Report{Present: true, Streams: -1, Link: 1.2, Uplink: -1}})
+	front.step(Event{Kind: EvAttemptEnded, Session: 77, Node: node, Outcome: OutcomeServed, SessionOver: true,
+		LoadReport: LoadReport{Present: true, Streams: -1, LinkLoad: 1.2, UplinkLoad: -1}})
 	if got := front.controller.linkLoad(front.controller.nodesByID[node]); got < 0.6 || got > 1.0 {
 		t.Fatalf("feedback 0.4 and load report 1.2: estimate %.2f", got)
 	}
@@ -659,7 +659,7 @@
 	front.now += 600
 	for range 2 {
 		for _, i := range []int{0, 2, 4} { // the nodes of one rack
-			front.step(Event{Kind: EvFeedback, Node: testNodes(6)[i].ID, Feedback: FeedbackRateShare, Value: 0.7})
+			front.step(Event{Kind: EvFeedback, Node: testNodes(6)[i].ID, Feedback: FeedbackRateShare, FeedbackValue: 0.7})
 		}
 	}
 	rack := front.controller.nodesByID[testNodes(1)[0].ID].rack
@@ -711,7 +711,7 @@
 	for title := uint64(1); title <= 3; title++ { // a bad request and a good one in turn
 		id, actions := front.request(0, title)
 		for node, _, ok := findSetup(actions); ok; node, _, ok = findSetup(actions) {
-			actions = front.endAttempt(id, node, Failed)
+			actions = front.endAttempt(id, node, OutcomeFailed)
 		}
 		if !hasAction(actions, ActRefuse) {
 			t.Fatalf("title %d: a repeatable request that fails everywhere gets %v, want an immediate refusal",
@@ -745,7 +745,7 @@
 		}
 		next := map[SessionID][]Action{}
 		for _, id := range []SessionID{one, two} {
-			next[id] = front.endAttempt(id, first, Failed)
+			next[id] = front.endAttempt(id, first, OutcomeFailed)
 		}
 		for id, actions := range next {
 			node, _, ok := findSetup(actions)
@@ -753,7 +753,7 @@
 				t.Fatalf("%s: no second attempt elsewhere: %v", name, actions)
 			}
 			if bad {
-				front.endAttempt(id, node, Failed)
+				front.endAttempt(id, node, OutcomeFailed)
 			} else {
 				front.startPlaying(id, node)
 			}
@@ -775,7 +775,7 @@
 		if !ok {
 			t.Fatalf("not set up: %v", actions)
 		}
-		if actions = front.endAttempt(id, node, Reset); !hasAction(actions, ActFail) {
+		if actions = front.endAttempt(id, node, OutcomeReset); !hasAction(actions, ActFail) {
 			t.Fatalf("an AtMostOnce set-up that was reset gets %v, want a failure", actions)
 		}
 		return front.controller.nodesByID[node]
@@ -796,7 +796,7 @@
 		t.Fatalf("after two resets in a row: %d failures, ejected until %v at %v", state.consecutiveFailures,
 			state.ejectedUntil, front.now)
 	}
-	front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: Reset, SessionOver: true})
+	front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: OutcomeReset, SessionOver: true})
 	if !state.presumedDown {
 		t.Fatal("a session that was reset while it played does not mark its node as down")
 	}
@@ -811,11 +811,11 @@
 		id, actions := front.request(0, 42)
 		playingNode, _, _ := findSetup(actions)
 		front.startPlaying(id, playingNode)
-		list := func(nodes ...Node) { front.step(Event{Kind: EvNodes, Nodes: nodes, Delta: !fullList}) }
+		list := func(nodes ...Node) { front.step(Event{Kind: EvNodes, Nodes: nodes, NodesAreDelta: !fullList}) }
 		newNode := Node{ID: 9000, Weight: 1}
 		removed := testNodes(6)
 		for i := range removed {
-			removed[i].Health = Gone
+			removed[i].Health = HealthRemoved
 		}
 		if fullList { // absent nodes are removed
 			removed = nil
@@ -831,7 +831,7 @@
 			t.Fatalf("full list %v: %d nodes are known, want the new one and the one with a session", fullList,
 				len(front.controller.nodes))
 		}
-		front.step(Event{Kind: EvAttemptEnded, Session: id, Node: playingNode, Outcome: Reset, SessionOver: true})
+		front.step(Event{Kind: EvAttemptEnded, Session: id, Node: playingNode, Outcome: OutcomeReset, SessionOver: true})
 		list(newNode)
 		if len(front.controller.nodes) != 1 || len(front.controller.nodesByID) != 1 {
 			t.Fatalf("full list %v: %d nodes are known, want 1", fullList, len(front.controller.nodes))
@@ -857,7 +857,7 @@
 			t.Fatalf("not set up: %v", actions)
 		}
 		front.startPlaying(id, node)
-		front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: Served, SessionOver: true})
+		front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: OutcomeServed, SessionOver: true})
 	}
 	if count := len(front.controller.placementTokens); count == 0 || count > maxPlacementTokens {
 		t.Fatalf("%d tokens are kept, at most %d are allowed", count, maxPlacementTokens)
--- a/decide/attempt/attempt.go
+++ b/decide/attempt/attempt.go
@@ -65,10 +65,10 @@
 const (
 	OutcomeNone Outcome = iota
 	OutcomePlaying
-	OutcomeFull          // the media node answered that it is full and nothing ran
-	OutcomeConnectFailed // no byte of the set-up was written
-	OutcomeError         // an answer that is not a success and proves nothing
-	OutcomeReset         // the connection closed after a byte had been written
+	OutcomeFull      // the media node answered that it is full and nothing ran
+	OutcomeNeverSent // no byte of the set-up was written
+	OutcomeError     // an answer that is not a success and proves nothing
+	OutcomeReset     // the connection closed after a byte had been written
 	OutcomeTimedOut
 	OutcomeCancelled
 )
@@ -79,7 +79,7 @@
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // NeverRan tells whether the outcome proves that nothing ran.
-func (o Outcome) NeverRan() bool { return o == OutcomeFull || o == OutcomeConnectFailed }
+func (o Outcome) NeverRan() bool { return o == OutcomeFull || o == OutcomeNeverSent }
 
 // ActionKind tells what the caller is to do.
 type ActionKind uint8
@@ -172,11 +172,11 @@
 			a.redials++
 			return append(out, Action{Kind: Dial})
 		}
-		return a.settle(OutcomeConnectFailed, StateClosed, out)
+		return a.settle(OutcomeNeverSent, StateClosed, out)
 	case DeadlineExceeded:
-		return append(a.settle(OutcomeConnectFailed, StateClosed, out), Action{Kind: CloseConnection})
+		return append(a.settle(OutcomeNeverSent, StateClosed, out), Action{Kind: CloseConnection})
 	case Cancelled:
-		return append(a.settle(OutcomeConnectFailed, StateClosed, out), Action{Kind: CloseConnection})
+		return append(a.settle(OutcomeNeverSent, StateClosed, out), Action{Kind: CloseConnection})
 	}
 	return out
 }
--- a/decide/connmgr/connmgr.go
+++ b/decide/connmgr/connmgr.go
@@ -36,7 +36,7 @@
 	Accepted    EventKind = iota // Conn
 	Received                     // Conn; Partial: bytes arrived, and a message is still incomplete
 	RequestRead                  // Conn: a readable set-up was received
-	LoadChanged                  // Conn, PendingSetups, Sessions: what it carries from now on
+	UseChanged                   // Conn, PendingSetups, Sessions: what it carries from now on
 	Closed                       // Conn
 	Tick                         // time passes
 )
@@ -135,7 +135,7 @@
 		}
 	case RequestRead:
 		c.requestRead = true
-	case LoadChanged:
+	case UseChanged:
 		if c.sessions > 0 {
 			c.lastSessionAt = now
 		}
--- a/decide/connmgr/connmgr_test.go
+++ b/decide/connmgr/connmgr_test.go
@@ -37,7 +37,7 @@
 	requestRead := func(c ConnID) Event { return Event{Kind: RequestRead, Conn: c} }
 	received := func(c ConnID, partial bool) Event { return Event{Kind: Received, Conn: c, Partial: partial} }
 	loadChanged := func(c ConnID, pendingSetups, sessions int) Event {
-		return Event{Kind: LoadChanged, Conn: c, PendingSetups: pendingSetups, Sessions: sessions}
+		return Event{Kind: UseChanged, Conn: c, PendingSetups: pendingSetups, Sessions: sessions}
 	}
 	tick := Event{Kind: Tick}
 	run(t, "nothing received", 9, []step{{0, accepted(1), ""}, {2000, tick, ""}, {2001, tick, "1 silent "},
--- a/decide/discovery/discovery.go
+++ b/decide/discovery/discovery.go
@@ -256,7 +256,7 @@
 	}
 	l.contradictions = 0
 	l.epoch, l.version, l.hasList = m.Epoch, m.Version, true
-	ev = headmill.Event{Kind: headmill.EvNodes, Delta: !m.Full}
+	ev = headmill.Event{Kind: headmill.EvNodes, NodesAreDelta: !m.Full}
 	if m.Full {
 		clear(l.nodes)
 	}
@@ -313,7 +313,7 @@
 // drainEvent changes listed nodes to draining whose drain came only with a message that was not accepted, and returns
 // them for the module.
 func (l *List) drainEvent() headmill.Event {
-	ev := headmill.Event{Kind: headmill.EvNodes, Delta: true}
+	ev := headmill.Event{Kind: headmill.EvNodes, NodesAreDelta: true}
 	for _, node := range l.nodes {
 		if _, ok := l.drains[node.bootKey()]; ok && node.State == "ready" {
 			node.State = "draining"
@@ -366,9 +366,9 @@
 	out := headmill.Node{ID: n.id, StartedAtMs: n.startedAt, Cell: n.Cell, Weight: n.Weight, Kind: n.Kind, Zone: n.Zone}
 	switch n.State {
 	case "draining":
-		out.Health = headmill.Draining
+		out.Health = headmill.HealthDraining
 	case "gone":
-		out.Health = headmill.Gone
+		out.Health = headmill.HealthRemoved
 	}
 	return out
 }
--- a/decide/discovery/discovery_test.go
+++ b/decide/discovery/discovery_test.go
@@ -50,8 +50,8 @@
 		if verdict != c.verdict || err != nil || formatNodes(ev) != c.want {
 			t.Fatalf("message %d: %s %v %q, want %s %q", i, verdict, err, formatNodes(ev), c.verdict, c.want)
 		}
-		if verdict == Accepted && ev.Delta == c.message.Full {
-			t.Fatalf("message %d: delta is %v", i, ev.Delta)
+		if verdict == Accepted && ev.NodesAreDelta == c.message.Full {
+			t.Fatalf("message %d: delta is %v", i, ev.NodesAreDelta)
 		}
 	}
 	if l.Len() != 1 {
--- a/decide/idempotency/ledger.go
+++ b/decide/idempotency/ledger.go
@@ -151,7 +151,7 @@
 	ClockSkewMs     float64  // largest difference from the token issuer's clock
 	RetryAfterMs    float64  // sent where the ledger itself refuses a request
 	LateAnswerMs    float64  // how long a paid entry outlives its token, as media nodes may still answer late
-	StartedMs       float64  // time, as passed to Step, at which this director began to accept requests
+	StartedAtMs     float64  // time, as passed to Step, at which this director began to accept requests
 	FirstStart      bool     // no earlier run of this director can have accepted tokens
 	ShardPaid       bool     // paid tokens are accepted by their owner only; needs Directors
 	SweepIntervalMs float64  // how often Tick checks all entries; 0 means 250
@@ -330,7 +330,7 @@
 // mayPredateStart tells whether a paid token may have been issued before this director started: an earlier run
 // may have set it up, and the ledger of that run is lost.
 func (l *Ledger) mayPredateStart(now float64, ev *Event) bool {
-	return ev.Paid && !l.cfg.FirstStart && ev.TokenAgeMs+l.cfg.ClockSkewMs >= now-l.cfg.StartedMs
+	return ev.Paid && !l.cfg.FirstStart && ev.TokenAgeMs+l.cfg.ClockSkewMs >= now-l.cfg.StartedAtMs
 }
 
 // handleUnknownKey handles a request whose key has no entry.
--- a/decide/idempotency/ledger_test.go
+++ b/decide/idempotency/ledger_test.go
@@ -215,7 +215,7 @@
 	if Owner("x", nil) != -1 {
 		t.Error("Owner of an empty list is not -1")
 	}
-	l = New(Config{MaxEntries: 9, MaxWaiters: 3, StartedMs: 1000, ClockSkewMs: 50})
+	l = New(Config{MaxEntries: 9, MaxWaiters: 3, StartedAtMs: 1000, ClockSkewMs: 50})
 	old := request(1, 1, true)
 	old.TokenAgeMs = 960 // at 2000 the director has run for 1000 ms; with the clock skew the token may be older
 	unpaid := request(3, 3, false)
--- a/decide/limits/capacity.go
+++ b/decide/limits/capacity.go
@@ -33,13 +33,13 @@
 // CapacityEstimator works out one director's part of the capacity of each cell: of the links, of what the uplinks of
 // the racks leave to them, both as far as set-ups may fill them, and of the streams.
 type CapacityEstimator struct {
-	Cfg     headmill.Config // that of the placement module
+	Config  headmill.Config // that of the placement module
 	maxSize float64         // streams, or media nodes, of the largest node list so far, which Cfg.TotalLinkKB covers
 }
 
-// Rooms returns the capacity by cell; nodes are those of the node list.
-func (e *CapacityEstimator) Rooms(nodes []headmill.Node) []Capacity {
-	cfg, out := &e.Cfg, make([]Capacity, e.Cfg.Cells)
+// Estimate returns the capacity by cell; nodes are those of the node list.
+func (e *CapacityEstimator) Estimate(nodes []headmill.Node) []Capacity {
+	cfg, out := &e.Config, make([]Capacity, e.Config.Cells)
 	fronts := float64(max(cfg.Fronts, 1))
 	streams := func(node *headmill.Node) float64 {
 		if node.Kind < len(cfg.StreamsByKind) {
@@ -66,13 +66,13 @@
 		if links[i] = size(node) * linkKBPerSize; cfg.WeightsKnown && cfg.LinkKBPerWeight > 0 {
 			links[i] = node.Weight * cfg.LinkKBPerWeight
 		}
-		if node.Health == headmill.Ready {
+		if node.Health == headmill.HealthReady {
 			rackLinks[node.Cell%len(rackLinks)] += links[i]
 		}
 	}
 	for i := range nodes {
 		node := &nodes[i]
-		if node.Health != headmill.Ready || len(out) == 0 {
+		if node.Health != headmill.HealthReady || len(out) == 0 {
 			continue
 		}
 		rateKB := links[i]
--- a/decide/limits/limits_test.go
+++ b/decide/limits/limits_test.go
@@ -233,25 +233,25 @@
 // The capacity of a cell is what links, uplinks and streams give it, divided among the directors. Media nodes that
 // leave take theirs along.
 func TestCapacityEstimator(t *testing.T) {
-	e := CapacityEstimator{Cfg: headmill.Config{Cells: 2, Racks: 1, Fronts: 2, StreamsByKind: []int{50}, TotalLinkKB: 4000,
+	e := CapacityEstimator{Config: headmill.Config{Cells: 2, Racks: 1, Fronts: 2, StreamsByKind: []int{50}, TotalLinkKB: 4000,
 		UplinkKB: 2000}}
 	two := []headmill.Node{{ID: 1, Cell: 0}, {ID: 2, Cell: 1}}
-	e.Rooms(nil) // lists that come before all media nodes have reported don't change their estimated size
-	e.Rooms(two[:1])
-	for _, r := range e.Rooms(two) { // an uplink of 2,000 under two links of 2,000
+	e.Estimate(nil) // lists that come before all media nodes have reported don't change their estimated size
+	e.Estimate(two[:1])
+	for _, r := range e.Estimate(two) { // an uplink of 2,000 under two links of 2,000
 		if math.Abs(r.RateKB-1000*headmill.MaxSetupLoad/2) > 1e-9 || r.Streams != 25 {
 			t.Errorf("%+v", r)
 		}
 	}
-	two[1].Health = headmill.Draining
-	if r := e.Rooms(two); math.Abs(r[0].RateKB-2000*headmill.MaxSetupLoad/2) > 1e-9 || r[1] != (Capacity{}) {
+	two[1].Health = headmill.HealthDraining
+	if r := e.Estimate(two); math.Abs(r[0].RateKB-2000*headmill.MaxSetupLoad/2) > 1e-9 || r[1] != (Capacity{}) {
 		t.Errorf("one drains: %+v", r)
 	}
-	if r := e.Rooms(two[:1]); math.Abs(r[0].RateKB-2000*headmill.MaxSetupLoad/2) > 1e-9 {
+	if r := e.Estimate(two[:1]); math.Abs(r[0].RateKB-2000*headmill.MaxSetupLoad/2) > 1e-9 {
 		t.Errorf("one is gone: %+v", r)
 	}
-	e = CapacityEstimator{Cfg: headmill.Config{Cells: 1, WeightsKnown: true, LinkKBPerWeight: 100}}
-	if r := e.Rooms([]headmill.Node{{Weight: 3}}); math.Abs(r[0].RateKB-300*headmill.MaxSetupLoad) > 1e-9 ||
+	e = CapacityEstimator{Config: headmill.Config{Cells: 1, WeightsKnown: true, LinkKBPerWeight: 100}}
+	if r := e.Estimate([]headmill.Node{{Weight: 3}}); math.Abs(r[0].RateKB-300*headmill.MaxSetupLoad) > 1e-9 ||
 		r[0].Streams != 0 {
 		t.Errorf("by weight: %+v", r)
 	}
@@ -596,9 +596,9 @@
 	if !q.Acquire(Reports, 1<<40) || q.MaxUtilization() != 0 { // no limit
 		t.Errorf("%+v, utilization %v", q.Usage(Reports), q.MaxUtilization())
 	}
-	q.SetLimit(Outgoing, 100)
-	if q.SetUsed(Outgoing, 101) || !q.SetUsed(Outgoing, 50) || q.MaxUtilization() != 0.5 {
-		t.Errorf("%+v", q.Usage(Outgoing))
+	q.SetLimit(OutputBuffers, 100)
+	if q.SetUsed(OutputBuffers, 101) || !q.SetUsed(OutputBuffers, 50) || q.MaxUtilization() != 0.5 {
+		t.Errorf("%+v", q.Usage(OutputBuffers))
 	}
 	if q.Fits(Sessions, 5) || !q.Fits(Sessions, 4) {
 		t.Errorf("%+v", q.Usage(Sessions))
--- a/decide/limits/quotas.go
+++ b/decide/limits/quotas.go
@@ -5,15 +5,15 @@
 
 // The resources. What the director does when a limit is reached: see docs/operate/limits.md.
 const (
-	Sessions      Resource = iota // entries of the session table: a new one is refused
-	Connections                   // of viewers: a new one is closed at once
-	Ledger                        // entries of the idempotency ledger: a new token is refused
-	Reports                       // bytes of players' reports: the report is dropped
-	Outgoing                      // bytes that wait to be sent to viewers: the connection that wants more is closed
-	Timelines                     // bytes of decide/quality's timelines: ended ones are removed early, new ones not kept
-	Sockets                       // sessions held over WebSocket connections: the message is refused
-	Waiting                       // bytes of set-ups that wait for their answer: a new one is refused
-	resourceCount                 // number of resources
+	Sessions       Resource = iota // entries of the session table: a new one is refused
+	Connections                    // of viewers: a new one is closed at once
+	Ledger                         // entries of the idempotency ledger: a new token is refused
+	Reports                        // bytes of players' reports: the report is dropped
+	OutputBuffers                  // bytes that wait to be sent to viewers: the connection that wants more is closed
+	Timelines                      // bytes of decide/quality's timelines: ended ones are removed early, new ones not kept
+	SocketSessions                 // sessions held over WebSocket connections: the message is refused
+	PendingSetups                  // bytes of set-ups that wait for their answer: a new one is refused
+	resourceCount                  // number of resources
 )
 
 var resourceNames = [...]string{"sessions", "connections", "ledger", "reports", "outgoing", "timelines", "sockets",
--- a/decide/quality/loss.go
+++ b/decide/quality/loss.go
@@ -13,15 +13,15 @@
 
 // GroupLoss is the quality that one group lost in one window.
 type GroupLoss struct {
-	Dim, Name string
-	From, To  float64
-	Lost      float64
+	Dim, Name   string
+	From, To    float64
+	QualityLost float64
 }
 
 // CauseLoss is the quality lost that is attributed to one cause.
 type CauseLoss struct {
-	Cause string
-	Lost  float64
+	Cause       string
+	QualityLost float64
 }
 
 // attributionOrder is the order in which dimensions claim a window's loss, the widest first: what a rack loses is also
@@ -47,7 +47,7 @@
 				if loss.Dim != finding.Dim || loss.Name != finding.Name || loss.To <= finding.From || loss.From >= finding.To {
 					continue
 				}
-				attributed := min(max(loss.Lost, 0), remaining[loss.From])
+				attributed := min(max(loss.QualityLost, 0), remaining[loss.From])
 				remaining[loss.From] -= attributed
 				byCause[cause] += attributed
 			}
@@ -58,7 +58,7 @@
 		out = append(out, CauseLoss{cause, lost})
 	}
 	slices.SortFunc(out, func(a, b CauseLoss) int {
-		return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Cause, b.Cause))
+		return cmp.Or(cmp.Compare(b.QualityLost, a.QualityLost), cmp.Compare(a.Cause, b.Cause))
 	})
 	unattributed := 0.0
 	for _, lost := range remaining {
--- a/decide/quality/loss_test.go
+++ b/decide/quality/loss_test.go
@@ -38,10 +38,10 @@
 		}
 		sum := 0.0
 		for _, cause := range AttributeLoss(total, losses, findings) {
-			if cause.Lost < 0 {
-				t.Fatalf("%s is attributed %v", cause.Cause, cause.Lost)
+			if cause.QualityLost < 0 {
+				t.Fatalf("%s is attributed %v", cause.Cause, cause.QualityLost)
 			}
-			sum += cause.Lost
+			sum += cause.QualityLost
 		}
 		if math.Abs(sum-sumOfTotals) > 1e-9 {
 			t.Fatalf("attributed losses add up to %v, want %v", sum, sumOfTotals)
--- a/decide/quality/quality.go
+++ b/decide/quality/quality.go
@@ -62,7 +62,7 @@
 	DedupWindow        int       // reports per session that are remembered to detect duplicates
 	MaxGroups          int       // groups in a window; reports of further groups count in Window.Total only. 0: no bound
 	MaxBytes           int64     // memory of all timelines, see SetMaxBytes. 0: no bound
-	RungWorth          []float64 // quality of each rung
+	RungQuality        []float64 // quality of each rung
 
 	// Weights of the linear model (Yin, Jindal, Sekar, Sinopoli, SIGCOMM 2015, eq. 5), in units of quality:
 	// per unit of quality changed by a switch, per second of stall, per second of start-up.
@@ -474,7 +474,7 @@
 // ended more than SessionRetentionMs ago.
 func (t *Tracker) advanceWatermark() {
 	n := 0
-	for n < len(t.openWindows) && t.openWindows[n].From+t.config.WindowMs <= t.watermark() {
+	for n < len(t.openWindows) && t.openWindows[n].StartAt+t.config.WindowMs <= t.watermark() {
 		t.closedWindows = append(t.closedWindows, t.openWindows[n])
 		n++
 	}
@@ -511,7 +511,7 @@
 		return nil
 	}
 	i, exists := slices.BinarySearchFunc(t.openWindows, from, func(w *Window, from float64) int {
-		return cmp.Compare(w.From, from)
+		return cmp.Compare(w.StartAt, from)
 	})
 	if !exists {
 		t.openWindows = slices.Insert(t.openWindows, i, newWindow(from))
@@ -534,7 +534,7 @@
 	out := map[GroupKey]*Group{}
 	for _, list := range [][]*Window{closed, t.openWindows} {
 		for _, w := range list {
-			if w.From < from {
+			if w.StartAt < from {
 				continue
 			}
 			for _, key := range w.Keys(d) {
@@ -548,8 +548,8 @@
 	return out
 }
 
-// LateBy returns the largest lateness of a report that was too late, in ms behind the watermark.
-func (t *Tracker) LateBy() float64 { return t.maxLatenessMs }
+// MaxLatenessMs returns the largest lateness of a report that was too late, in ms behind the watermark.
+func (t *Tracker) MaxLatenessMs() float64 { return t.maxLatenessMs }
 
 // Span is a part of a session's timeline; it lasts until the next one begins.
 type Span struct {
--- a/decide/quality/quality_test.go
+++ b/decide/quality/quality_test.go
@@ -11,7 +11,7 @@
 
 func testConfig() Config {
 	return Config{WindowMs: 5000, AllowedLatenessMs: 25000, MaxClockSkewMs: 3600e3, SessionRetentionMs: 60000,
-		MaxSpans: 64, DedupWindow: 64, MaxGroups: 2000, RungWorth: []float64{0.2, 0.5, 0.8, 1}, SwitchCost: 1,
+		MaxSpans: 64, DedupWindow: 64, MaxGroups: 2000, RungQuality: []float64{0.2, 0.5, 0.8, 1}, SwitchCost: 1,
 		StallCost: 3, StartupCost: 0.2, ShortfallBelow: 0.9, DetectIntervalMs: 500, ConfirmMs: 1000, MinSessions: 6,
 		MinScore: 8}
 }
@@ -172,7 +172,7 @@
 		for _, w := range tracker.TakeClosed() {
 			for key, group := range w.Groups {
 				if key.Dim == ByRack || key.Dim == ByTitle {
-					got[fmt.Sprintf("%v %s %d", w.From/config.WindowMs, key.Dim, key.ID)] += group.Reports
+					got[fmt.Sprintf("%v %s %d", w.StartAt/config.WindowMs, key.Dim, key.ID)] += group.Reports
 				}
 			}
 		}
@@ -359,16 +359,16 @@
 	merged.Merge(parts[2].openWindows[0])
 	for _, key := range append(want.Keys(ByRack), want.Keys(ByNode)...) {
 		a, b := want.Groups[key], merged.Groups[key]
-		if a.Reports != b.Reports || a.Stalled != b.Stalled || math.Abs(a.Score-b.Score) > 1e-6 ||
-			a.StartUp(0.9) != b.StartUp(0.9) || a.Share(0.5) != b.Share(0.5) || math.Abs(a.Lost-b.Lost) > 1e-6 {
+		if a.Reports != b.Reports || a.StalledReports != b.StalledReports || math.Abs(a.QualitySum-b.QualitySum) > 1e-6 ||
+			a.StartupQuantile(0.9) != b.StartupQuantile(0.9) || a.ShareQuantile(0.5) != b.ShareQuantile(0.5) || math.Abs(a.QualityLost-b.QualityLost) > 1e-6 {
 			t.Errorf("%v: want %+v, merged windows have %+v", key, a, b)
 		}
 	}
 	sort.Float64s(startupTimes)
-	if got, want := merged.Total.StartUp(0.9), startupTimes[540]; math.Abs(got-want) > 0.05*want {
+	if got, want := merged.Total.StartupQuantile(0.9), startupTimes[540]; math.Abs(got-want) > 0.05*want {
 		t.Errorf("start-up p90 %v, want %v", got, want)
 	}
-	if !math.IsNaN((&Group{}).Mean()) || !math.IsNaN((&Group{}).Share(0.5)) {
+	if !math.IsNaN((&Group{}).MeanQuality()) || !math.IsNaN((&Group{}).ShareQuantile(0.5)) {
 		t.Error("an empty group has a mean or a quantile")
 	}
 }
@@ -383,8 +383,8 @@
 		Report: PlayerReport{At: 3000, ArrivedAt: 3000, Sequence: 2, ReceivedKB: 50, StallMs: 100, Rung: 2}}})
 	group := tracker.openWindows[0].Groups[GroupKey{ByRack, 1}]
 	// The first report scores 1, the second 0.8 less 0.2 for the switch and 0.3 for the stall.
-	if math.Abs(group.Score-1.3) > 1e-9 || group.Switches != 1 || group.Stalled != 1 || group.StallMs != 100 ||
-		math.Abs(group.Lost-0.7) > 1e-9 {
+	if math.Abs(group.QualitySum-1.3) > 1e-9 || group.Switches != 1 || group.StalledReports != 1 || group.StallMs != 100 ||
+		math.Abs(group.QualityLost-0.7) > 1e-9 {
 		t.Errorf("%+v", group)
 	}
 }
@@ -473,7 +473,7 @@
 func TestTimelineMemoryBound(t *testing.T) {
 	const maxBytes = 200 * (sessionBytes + spanBytes)
 	tracker := New(Config{WindowMs: 1000, AllowedLatenessMs: 5000, SessionRetentionMs: 1e6,
-		MaxSpans: 8, DedupWindow: 16, MaxBytes: maxBytes, RungWorth: []float64{1}})
+		MaxSpans: 8, DedupWindow: 16, MaxBytes: maxBytes, RungQuality: []float64{1}})
 	checkAccounting := func() {
 		t.Helper()
 		sum := int64(0)
--- a/decide/quality/window.go
+++ b/decide/quality/window.go
@@ -15,26 +15,26 @@
 
 // Group aggregates the reports of one group in one window. Groups are added up with Merge.
 type Group struct {
-	Reports       int64
-	Starts        int64
-	StallMs       float64
-	Stalled       int64   // reports with a stall
-	Score         float64 // sum of the reports' quality
-	Lost          float64 // sum of the quality missing from that of the granted rung, and of the start-up cost
-	Switches      int64   // changes of rung
-	startupSketch *ddsketch.DDSketch
-	shareSketch   *ddsketch.DDSketch
+	Reports        int64
+	Starts         int64
+	StallMs        float64
+	StalledReports int64   // reports with a stall
+	QualitySum     float64 // sum of the reports' quality
+	QualityLost    float64 // sum of the quality missing from that of the granted rung, and of the start-up cost
+	Switches       int64   // changes of rung
+	startupSketch  *ddsketch.DDSketch
+	shareSketch    *ddsketch.DDSketch
 }
 
 // Window aggregates the reports of an interval of event time, in total and by group.
 type Window struct {
-	From             float64
+	StartAt          float64
 	Total            Group
 	Groups           map[GroupKey]*Group
 	UngroupedReports int64 // times that a report or start-up was left out of a group, beyond Config.MaxGroups
 }
 
-func newWindow(from float64) *Window { return &Window{From: from, Groups: map[GroupKey]*Group{}} }
+func newWindow(from float64) *Window { return &Window{StartAt: from, Groups: map[GroupKey]*Group{}} }
 
 // addToSketch adds a value to a sketch, which is created if needed.
 func addToSketch(sketch **ddsketch.DDSketch, value float64) {
@@ -56,18 +56,18 @@
 	return value
 }
 
-// StartUp returns the p-quantile of the start-up time in ms; NaN without any.
-func (g *Group) StartUp(p float64) float64 { return quantile(g.startupSketch, p) }
+// StartupQuantile returns the p-quantile of the start-up time in ms; NaN without any.
+func (g *Group) StartupQuantile(p float64) float64 { return quantile(g.startupSketch, p) }
 
-// Share returns the p-quantile of the rate received over the rate needed; NaN without any.
-func (g *Group) Share(p float64) float64 { return quantile(g.shareSketch, p) }
+// ShareQuantile returns the p-quantile of the rate received over the rate needed; NaN without any.
+func (g *Group) ShareQuantile(p float64) float64 { return quantile(g.shareSketch, p) }
 
-// Mean returns the mean quality of a report; NaN without any.
-func (g *Group) Mean() float64 {
+// MeanQuality returns the mean quality of a report; NaN without any.
+func (g *Group) MeanQuality() float64 {
 	if g.Reports == 0 {
 		return math.NaN()
 	}
-	return g.Score / float64(g.Reports)
+	return g.QualitySum / float64(g.Reports)
 }
 
 // Merge adds another part of the same group, of another window or of another director.
@@ -75,9 +75,9 @@
 	g.Reports += other.Reports
 	g.Starts += other.Starts
 	g.StallMs += other.StallMs
-	g.Stalled += other.Stalled
-	g.Score += other.Score
-	g.Lost += other.Lost
+	g.StalledReports += other.StalledReports
+	g.QualitySum += other.QualitySum
+	g.QualityLost += other.QualityLost
 	g.Switches += other.Switches
 	for _, pair := range []struct{ to, from **ddsketch.DDSketch }{
 		{&g.startupSketch, &other.startupSketch}, {&g.shareSketch, &other.shareSketch}} {
@@ -143,7 +143,7 @@
 	w.forEachGroup(t, s, span, func(g *Group) {
 		g.Starts++
 		addToSketch(&g.startupSketch, startupMs)
-		g.Lost += t.config.StartupCost * startupMs / 1000
+		g.QualityLost += t.config.StartupCost * startupMs / 1000
 	})
 }
 
@@ -180,11 +180,11 @@
 	lost := math.Max(t.rungQuality(span.Rung)-score, 0)
 	w.forEachGroup(t, s, span, func(g *Group) {
 		g.Reports++
-		g.Score += score
-		g.Lost += lost
+		g.QualitySum += score
+		g.QualityLost += lost
 		g.StallMs += report.StallMs
 		if report.StallMs > 0 || report.BufferEmpty {
-			g.Stalled++
+			g.StalledReports++
 		}
 		if switched {
 			g.Switches++
@@ -210,10 +210,10 @@
 
 // rungQuality returns the quality of a rung, or of the nearest one that Config.RungWorth has; 0 if it has none.
 func (t *Tracker) rungQuality(rung int) float64 {
-	if len(t.config.RungWorth) == 0 {
+	if len(t.config.RungQuality) == 0 {
 		return 0
 	}
-	return t.config.RungWorth[min(max(rung, 0), len(t.config.RungWorth)-1)]
+	return t.config.RungQuality[min(max(rung, 0), len(t.config.RungQuality)-1)]
 }
 
 // Encode serializes the sketches for another process to merge; nil for an empty sketch.
--- a/example_test.go
+++ b/example_test.go
@@ -10,7 +10,7 @@
 func Example() {
 	front, err := headmill.New(headmill.Config{
 		Fronts: 1, Cells: 3, Racks: 1, MaxAttempts: 2,
-		Classes: []headmill.Class{{TargetMs: 1000, Value: 1, RateScale: 1, MaxRung: 1}},
+		Classes: []headmill.Class{{TargetMs: 1000, ValuePerSecond: 1, RateScale: 1, MaxRung: 1}},
 		RateKB:  []float64{300, 900}, RungWorth: []float64{0.4, 1},
 		StreamsByKind: []int{50}, LinkKBPerWeight: 10000, TotalLinkKB: 10000, UplinkKB: 9000,
 	}, 42)
--- a/internal/audit/parse.go
+++ b/internal/audit/parse.go
@@ -252,19 +252,19 @@
 		}
 		c := byID[r.Conn]
 		if c == nil {
-			c = &conn{relay: r.Tap, id: r.Conn}
+			c = &conn{relay: r.Relay, id: r.Conn}
 			c.fromClient.endedAt, c.fromServer.endedAt = never, never
 			byID[r.Conn] = c
 			conns = append(conns, c)
 		}
 		switch r.Kind {
-		case relay.Forth:
+		case relay.ClientData:
 			c.fromClient.add(r)
-		case relay.Back:
+		case relay.ServerData:
 			c.fromServer.add(r)
-		case relay.ForthEnd:
+		case relay.ClientEnd:
 			c.fromClient.endedAt = math.Min(c.fromClient.endedAt, r.AtMs)
-		case relay.BackEnd:
+		case relay.ServerEnd:
 			c.fromServer.endedAt = math.Min(c.fromServer.endedAt, r.AtMs)
 		}
 	}
--- a/internal/audit/verify.go
+++ b/internal/audit/verify.go
@@ -32,10 +32,10 @@
 
 // Class holds the terms of service of one class of sessions.
 type Class struct {
-	AtMostOnce         bool    // a session must not be set up twice
-	TargetMs, GiveUpMs float64 // set-up time that counts as in time, and after which the viewer gives up
-	Value              float64 // weight of a session in WorthInTime
-	Floor, Seats       int     // lowest rung, and sessions of one title at each director (0: no cap)
+	AtMostOnce           bool    // a session must not be set up twice
+	TargetMs, GiveUpMs   float64 // set-up time that counts as in time, and after which the viewer gives up
+	Value                float64 // weight of a session in WorthInTime
+	MinRung, MaxPerTitle int     // lowest rung, and sessions of one title at each director (0: no cap)
 }
 
 // Title is one entry of the catalogue.
@@ -46,22 +46,22 @@
 
 // Terms holds the terms of service and the properties of the media nodes that the rules refer to.
 type Terms struct {
-	Classes   map[string]Class
-	Titles    map[string]Title
-	Boxes     map[string]string // name of a media node's relay by the address in the node list
-	Worth     []float64         // of each rung
-	Shortfall float64           // fraction of the worth lost per unit by which the share of the rate is under 0.98
-	SlackMs   float64           // accepted delay of an answer after the viewer's time
-	GraceMs   float64           // time after a drain or removal within which a set-up may still arrive
+	Classes          map[string]Class
+	Titles           map[string]Title
+	Nodes            map[string]string // name of a media node's relay by the address in the node list
+	Worth            []float64         // of each rung
+	ShortfallPenalty float64           // fraction of the worth lost per unit by which the share of the rate is under 0.98
+	SlackMs          float64           // accepted delay of an answer after the viewer's time
+	GraceMs          float64           // time after a drain or removal within which a set-up may still arrive
 
 	// A media node that started less than WarmMs ago takes set-ups at a pace that rises from ColdFrom times the
 	// full pace to the full pace, which is Places per WarmMs. More than Factor times this pace within TipMs
 	// breaks the rule for cold starts.
-	Places   float64 // streams of a media node
-	WarmMs   float64
-	ColdFrom float64
-	Factor   float64
-	TipMs    float64
+	StreamsPerNode     float64 // streams of a media node
+	WarmUpMs           float64
+	ColdRateFraction   float64
+	ColdOverloadFactor float64
+	ColdWindowMs       float64
 
 	// Within the last RetryWindowMs a director may send MinRetries attempts beyond the first of their sessions,
 	// and RetryRatio more for each request that it received.
@@ -81,52 +81,52 @@
 
 // Report holds the counters and violations found in a recording. A rehearsal prints it as one line of JSON.
 type Report struct {
-	Asked          int     `json:"asked"`
-	AnsweredOnce   int     `json:"answered_once"`
-	Unanswered     int     `json:"unanswered"`
-	AnsweredTwice  int     `json:"answered_twice"`
-	PaidTwice      int     `json:"paid_twice"`
-	TwoAttempts    int     `json:"two_attempts"`
-	DrainLate      int     `json:"drain_late"`
-	ColdPushed     int     `json:"cold_pushed"`
-	SeatsExceeded  int     `json:"seats_exceeded"`
-	WorthInTime    float64 `json:"worth_in_time"`
-	SetupP50       float64 `json:"setup_ms_p50"`
-	SetupP99       float64 `json:"setup_ms_p99"`
-	SessionsPerS   float64 `json:"sessions_per_s"`
-	WrongRefusals  int     `json:"wrong_refusals"`
-	UnderFloor     int     `json:"under_floor"`
-	RationExceeded int     `json:"ration_exceeded"`
-	Fell           int     `json:"fell"`               // media nodes that crashed during a cold start
-	Left           int     `json:"viewer_left"`        // viewer disconnected before answer and deadline: none required
-	LostWith       int     `json:"lost_with_director"` // the director was killed while the request was pending
-	Plays          int     `json:"plays"`
-	Refused        int     `json:"refused"`
-	Failed         int     `json:"failed"`
-	Elsewhere      int     `json:"elsewhere"` // redirected to another director
-	Denied         int     `json:"denied"`
-	Setups         int     `json:"setups"`
-	Sockets        int     `json:"socket_opens"` // requests over the session API; Asked includes them
-	FirstTries     int     `json:"first_tries"`
-	FirstInTime    int     `json:"first_tries_in_time"`
-	RushPerS       float64 `json:"rush_per_s"`    // most first requests of viewers within a second
-	ReturnsPerS    float64 `json:"returns_per_s"` // most retries of refused viewers within a second
-
-	WorthByBrand map[string]float64 `json:"worth_by_brand,omitempty"`
+	Requests              int     `json:"asked"`
+	AnsweredOnce          int     `json:"answered_once"`
+	Unanswered            int     `json:"unanswered"`
+	AnsweredTwice         int     `json:"answered_twice"`
+	AtMostOnceRepeated    int     `json:"paid_twice"`
+	ConcurrentAttempts    int     `json:"two_attempts"`
+	SetupsAfterDrain      int     `json:"drain_late"`
+	ColdStartOverloads    int     `json:"cold_pushed"`
+	TitleCapExceeded      int     `json:"seats_exceeded"`
+	WorthInTime           float64 `json:"worth_in_time"`
+	SetupP50              float64 `json:"setup_ms_p50"`
+	SetupP99              float64 `json:"setup_ms_p99"`
+	SessionsPerS          float64 `json:"sessions_per_s"`
+	WrongRefusals         int     `json:"wrong_refusals"`
+	BelowMinRung          int     `json:"under_floor"`
+	RetryBudgetExceeded   int     `json:"ration_exceeded"`
+	NodeCrashes           int     `json:"fell"`               // media nodes that crashed during a cold start
+	ViewerDisconnected    int     `json:"viewer_left"`        // viewer disconnected before answer and deadline: none required
+	LostWithDirector      int     `json:"lost_with_director"` // the director was killed while the request was pending
+	Plays                 int     `json:"plays"`
+	Refused               int     `json:"refused"`
+	Failed                int     `json:"failed"`
+	Redirected            int     `json:"elsewhere"` // redirected to another director
+	Denied                int     `json:"denied"`
+	Setups                int     `json:"setups"`
+	SessionAPIRequests    int     `json:"socket_opens"` // requests over the session API; Asked includes them
+	FirstRequests         int     `json:"first_tries"`
+	FirstRequestsInTime   int     `json:"first_tries_in_time"`
+	PeakFirstRequestsPerS float64 `json:"rush_per_s"`    // most first requests of viewers within a second
+	PeakRetriesPerS       float64 `json:"returns_per_s"` // most retries of refused viewers within a second
+
+	WorthByTenant map[string]float64 `json:"worth_by_brand,omitempty"`
 	// Broken describes the first 50 violations.
-	Broken []string `json:"broken,omitempty"`
+	Violations []string `json:"broken,omitempty"`
 }
 
 // OK reports whether all rules were kept.
 func (r *Report) OK() bool {
-	return r.Unanswered+r.AnsweredTwice+r.PaidTwice+r.TwoAttempts+r.DrainLate+r.ColdPushed+r.SeatsExceeded+
-		r.WrongRefusals+r.UnderFloor+r.RationExceeded == 0
+	return r.Unanswered+r.AnsweredTwice+r.AtMostOnceRepeated+r.ConcurrentAttempts+r.SetupsAfterDrain+r.ColdStartOverloads+r.TitleCapExceeded+
+		r.WrongRefusals+r.BelowMinRung+r.RetryBudgetExceeded == 0
 }
 
 func (r *Report) addViolation(counter *int, format string, args ...any) {
 	*counter++
-	if len(r.Broken) < 50 {
-		r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
+	if len(r.Violations) < 50 {
+		r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -174,8 +174,8 @@
 	reportedAt map[string]float64 // when each director learnt of it
 }
 
-// Judge checks the records of a rehearsal against the terms and reports all violations.
-func Judge(records []relay.Record, terms Terms) *Report {
+// Verify checks the records of a rehearsal against the terms and reports all violations.
+func Verify(records []relay.Record, terms Terms) *Report {
 	v := &verifier{Terms: terms, report: &Report{}, sessions: map[string]*session{}, shares: map[string][]shareReport{},
 		requestTimes: map[string][]float64{}, starts: map[string][]nodeStart{}}
 	v.conns, v.marks = groupRecords(records)
@@ -187,8 +187,8 @@
 	v.checkRetryBudget()
 	for _, m := range v.marks {
 		if m.Text == "fell" {
-			v.report.Fell++
-			v.report.addViolation(&v.report.ColdPushed, "%s fell over at %.0f ms", m.Tap, m.AtMs)
+			v.report.NodeCrashes++
+			v.report.addViolation(&v.report.ColdStartOverloads, "%s fell over at %.0f ms", m.Relay, m.AtMs)
 		}
 	}
 	return v.report
@@ -197,7 +197,7 @@
 // killedWithin reports whether a director or media node was killed or vanished within a time span.
 func (v *verifier) killedWithin(name string, from, to float64) bool {
 	for _, m := range v.marks {
-		if m.Tap == name && (m.Text == "killed" || m.Text == "vanished") && m.AtMs >= from && m.AtMs <= to {
+		if m.Relay == name && (m.Text == "killed" || m.Text == "vanished") && m.AtMs >= from && m.AtMs <= to {
 			return true
 		}
 	}
@@ -207,7 +207,7 @@
 // nextKill returns the first time after a given one at which a director or media node was killed or vanished.
 func (v *verifier) nextKill(name string, after float64) float64 {
 	for _, m := range v.marks {
-		if m.Tap == name && (m.Text == "killed" || m.Text == "vanished") && m.AtMs >= after {
+		if m.Relay == name && (m.Text == "killed" || m.Text == "vanished") && m.AtMs >= after {
 			return m.AtMs
 		}
 	}
@@ -218,7 +218,7 @@
 // nodes.
 func (v *verifier) readNodeTraffic() {
 	isNode := map[string]bool{}
-	for _, name := range v.Boxes {
+	for _, name := range v.Nodes {
 		isNode[name] = true
 	}
 	for _, c := range v.conns {
@@ -335,7 +335,7 @@
 	var firsts, retries []float64
 	for _, r := range v.viewerRequests() {
 		claims, class := r.claims, v.Classes[r.claims.Class]
-		v.report.Asked++
+		v.report.Requests++
 		v.requestTimes[r.director] = append(v.requestTimes[r.director], r.receivedAt)
 		earliest, latest = math.Min(earliest, r.receivedAt), math.Max(latest, r.receivedAt)
 		first := firstRequests[claims.Subject]
@@ -344,7 +344,7 @@
 			first = &firstRequest{at: r.receivedAt, claims: claims, playedInTime: map[string]float64{}}
 			firstRequests[claims.Subject] = first
 			firsts = append(firsts, r.receivedAt)
-			v.report.FirstTries++
+			v.report.FirstRequests++
 		} else if refusedBefore[claims.Subject] {
 			retries = append(retries, r.receivedAt)
 		}
@@ -352,10 +352,10 @@
 		deadline := r.receivedAt + class.GiveUpMs + v.SlackMs
 		switch {
 		case r.status == 0 && r.viewerEndAt <= math.Min(r.directorEndAt, deadline):
-			v.report.Left++
+			v.report.ViewerDisconnected++
 			continue
 		case r.status == 0 && v.killedWithin(r.director, r.receivedAt-reorderToleranceMs, deadline):
-			v.report.LostWith++
+			v.report.LostWithDirector++
 			continue
 		case r.status == 0:
 			v.report.addViolation(&v.report.Unanswered, "%s: %s of %s at %.0f ms: no answer",
@@ -373,7 +373,7 @@
 			v.report.Plays++
 			setupTimes = append(setupTimes, r.answeredAt-r.receivedAt)
 			if isFirst && inTime {
-				v.report.FirstInTime++
+				v.report.FirstRequestsInTime++
 			}
 			if name := manifestSession(r.body); first != nil && name != "" {
 				if _, known := first.playedInTime[name]; !known && inTime {
@@ -386,11 +386,11 @@
 				v.checkRefusal(r.director, r.answeredAt, claims)
 			}
 		case r.status == 307:
-			v.report.Elsewhere++
+			v.report.Redirected++
 			if isFirst { // the request to the director that it is redirected to counts as the first
 				delete(firstRequests, claims.Subject)
 				firsts = firsts[:len(firsts)-1]
-				v.report.FirstTries--
+				v.report.FirstRequests--
 			}
 		case r.status >= 500 || r.status == 410 || r.status == 409 || r.status == 429:
 			v.report.Failed++
@@ -399,7 +399,7 @@
 		}
 	}
 	if peak := peakPerSecond(firsts); peak > 0 {
-		v.report.RushPerS, v.report.ReturnsPerS = peak, peakPerSecond(retries)
+		v.report.PeakFirstRequestsPerS, v.report.PeakRetriesPerS = peak, peakPerSecond(retries)
 	}
 	worthByTenant := map[string][2]float64{} // earned and wanted
 	wanted, earned := 0.0, 0.0
@@ -426,10 +426,10 @@
 	}
 	for name, worth := range worthByTenant {
 		if worth[1] > 0 {
-			if v.report.WorthByBrand == nil {
-				v.report.WorthByBrand = map[string]float64{}
+			if v.report.WorthByTenant == nil {
+				v.report.WorthByTenant = map[string]float64{}
 			}
-			v.report.WorthByBrand[name] = math.Round(worth[0]/worth[1]*1000) / 1000
+			v.report.WorthByTenant[name] = math.Round(worth[0]/worth[1]*1000) / 1000
 		}
 	}
 	if wanted > 0 {
@@ -488,7 +488,7 @@
 			}
 		}
 		worth := v.Worth[max(min(rung, len(v.Worth)-1), 0)]
-		sum += (end - start) * math.Max(worth*(1-v.Shortfall*math.Max(0.98-share, 0)), 0)
+		sum += (end - start) * math.Max(worth*(1-v.ShortfallPenalty*math.Max(0.98-share, 0)), 0)
 	}
 	return sum
 }
@@ -515,7 +515,7 @@
 		if v.Classes[s.class].AtMostOnce && s.jti != "" {
 			for _, earlier := range byJTI[s.jti] {
 				if !(earlier.provenNotRun && earlier.answeredAt <= s.firstByteAt+reorderToleranceMs) {
-					v.report.addViolation(&v.report.PaidTwice,
+					v.report.addViolation(&v.report.AtMostOnceRepeated,
 						"paid %s: set up at %s at %.0f ms and again at %s at %.0f ms",
 						s.jti, earlier.node, earlier.firstByteAt, s.node, s.firstByteAt)
 					break
@@ -526,19 +526,19 @@
 		for _, earlier := range bySession[s.session] {
 			if endedAt := earlier.endedAt; endedAt > s.firstByteAt+reorderToleranceMs ||
 				earlier.status == 201 && v.stillPlaying(earlier, s.firstByteAt) {
-				v.report.addViolation(&v.report.TwoAttempts, "%s: attempt at %s from %.0f ms, another at %s at %.0f ms",
+				v.report.addViolation(&v.report.ConcurrentAttempts, "%s: attempt at %s from %.0f ms, another at %s at %.0f ms",
 					s.session, earlier.node, earlier.firstByteAt, s.node, s.firstByteAt)
 				break
 			}
 		}
 		bySession[s.session] = append(bySession[s.session], s)
-		if s.form != nil && s.rung < v.Classes[s.class].Floor {
-			v.report.addViolation(&v.report.UnderFloor, "%s: set up at rung %d", s.session, s.rung)
+		if s.form != nil && s.rung < v.Classes[s.class].MinRung {
+			v.report.addViolation(&v.report.BelowMinRung, "%s: set up at rung %d", s.session, s.rung)
 		}
 		if playing := v.sessions[s.session]; playing != nil && s.status == 201 {
 			for _, change := range playing.rungs {
-				if change.rung < v.Classes[s.class].Floor {
-					v.report.addViolation(&v.report.UnderFloor, "%s: set to rung %d", s.session, change.rung)
+				if change.rung < v.Classes[s.class].MinRung {
+					v.report.addViolation(&v.report.BelowMinRung, "%s: set to rung %d", s.session, change.rung)
 				}
 			}
 		}
@@ -581,7 +581,7 @@
 			}
 			listed := map[string]bool{}
 			for _, n := range message.Nodes {
-				name := v.Boxes[n.Addr]
+				name := v.Nodes[n.Addr]
 				listed[name] = true
 				states[director][name] = append(states[director][name], nodeState{e.at, n.State})
 				if n.UpMs > 0 {
@@ -613,7 +613,7 @@
 			}
 		}
 		if state != "ready" && s.firstByteAt > since+v.GraceMs {
-			v.report.addViolation(&v.report.DrainLate, "%s sent %s to %s %.0f ms after it was told that it is %s",
+			v.report.addViolation(&v.report.SetupsAfterDrain, "%s sent %s to %s %.0f ms after it was told that it is %s",
 				s.director, s.session, s.node, s.firstByteAt-since, state)
 		}
 	}
@@ -638,7 +638,7 @@
 // knew of the start must not exceed Factor times the node's pace at the window's end. Two more are allowed,
 // since arrivals vary by chance.
 func (v *verifier) checkColdStarts() {
-	if v.WarmMs <= 0 || v.Factor <= 0 {
+	if v.WarmUpMs <= 0 || v.ColdOverloadFactor <= 0 {
 		return
 	}
 	for node, starts := range v.starts {
@@ -646,21 +646,21 @@
 			var sentAt []float64
 			for _, s := range v.setups {
 				if reportedAt, ok := start.reportedAt[s.director]; s.node == node && ok &&
-					s.firstByteAt >= reportedAt && s.firstByteAt < start.at+v.WarmMs {
+					s.firstByteAt >= reportedAt && s.firstByteAt < start.at+v.WarmUpMs {
 					sentAt = append(sentAt, s.firstByteAt)
 				}
 			}
 			for i := range sentAt {
 				end := i
-				for end < len(sentAt) && sentAt[end] < sentAt[i]+v.TipMs {
+				for end < len(sentAt) && sentAt[end] < sentAt[i]+v.ColdWindowMs {
 					end++
 				}
-				age := math.Max(sentAt[i]+v.TipMs-start.at, 0)
-				pace := v.Places / v.WarmMs * (v.ColdFrom + (1-v.ColdFrom)*math.Min(age/v.WarmMs, 1)) // set-ups per ms
-				if float64(end-i) > v.Factor*pace*v.TipMs+2 {
-					v.report.addViolation(&v.report.ColdPushed,
+				age := math.Max(sentAt[i]+v.ColdWindowMs-start.at, 0)
+				pace := v.StreamsPerNode / v.WarmUpMs * (v.ColdRateFraction + (1-v.ColdRateFraction)*math.Min(age/v.WarmUpMs, 1)) // set-ups per ms
+				if float64(end-i) > v.ColdOverloadFactor*pace*v.ColdWindowMs+2 {
+					v.report.addViolation(&v.report.ColdStartOverloads,
 						"%s: %d set-ups within %.0f ms, %.0f ms after its start",
-						node, end-i, v.TipMs, sentAt[i]-start.at)
+						node, end-i, v.ColdWindowMs, sentAt[i]-start.at)
 					break
 				}
 			}
@@ -678,7 +678,7 @@
 	steps := map[string][]step{} // by director, title and class
 	for _, s := range v.setups {
 		class := v.Classes[s.class]
-		if class.Seats == 0 || s.form == nil {
+		if class.MaxPerTitle == 0 || s.form == nil {
 			continue
 		}
 		endedAt := s.endedAt
@@ -695,8 +695,8 @@
 		parts := strings.Split(key, "\x00")
 		count := 0
 		for _, s := range list {
-			if count += s.delta; count > v.Classes[parts[2]].Seats {
-				v.report.addViolation(&v.report.SeatsExceeded, "%s holds %d sessions of %s at %.0f ms", parts[0], count,
+			if count += s.delta; count > v.Classes[parts[2]].MaxPerTitle {
+				v.report.addViolation(&v.report.TitleCapExceeded, "%s holds %d sessions of %s at %.0f ms", parts[0], count,
 					parts[1], s.at)
 				break
 			}
@@ -727,7 +727,7 @@
 				}
 			}
 			if float64(retries) > v.MinRetries+v.RetryRatio*float64(requests) {
-				v.report.addViolation(&v.report.RationExceeded, "%s: %d further attempts for %d requests at %.0f ms",
+				v.report.addViolation(&v.report.RetryBudgetExceeded, "%s: %d further attempts for %d requests at %.0f ms",
 					s.director, retries, requests, s.firstByteAt)
 			}
 		}
--- a/internal/audit/verify_test.go
+++ b/internal/audit/verify_test.go
@@ -20,11 +20,11 @@
 }
 
 func (r *recording) add(kind relay.Kind, at float64, name string, conn int, text string) {
-	r.records = append(r.records, relay.Record{Kind: kind, AtMs: at, Tap: name, Conn: conn, Data: []byte(text)})
+	r.records = append(r.records, relay.Record{Kind: kind, AtMs: at, Relay: name, Conn: conn, Data: []byte(text)})
 }
 
 func (r *recording) mark(at float64, name, text string) {
-	r.records = append(r.records, relay.Record{Kind: relay.Mark, AtMs: at, Tap: name, Text: text})
+	r.records = append(r.records, relay.Record{Kind: relay.Mark, AtMs: at, Relay: name, Text: text})
 }
 
 // exchange adds one request with its answer on a new connection, whose number it returns. An empty answer stands
@@ -32,9 +32,9 @@
 func (r *recording) exchange(name string, at float64, request string, answeredAt float64, answer string) int {
 	r.conns++
 	r.add(relay.Open, at, name, r.conns, "")
-	r.add(relay.Forth, at, name, r.conns, request)
+	r.add(relay.ClientData, at, name, r.conns, request)
 	if answer != "" {
-		r.add(relay.Back, answeredAt, name, r.conns, answer)
+		r.add(relay.ServerData, answeredAt, name, r.conns, answer)
 	}
 	return r.conns
 }
@@ -81,11 +81,11 @@
 
 func testTerms() Terms {
 	return Terms{
-		Classes: map[string]Class{"paid": {AtMostOnce: true, TargetMs: 500, GiveUpMs: 1000, Value: 3, Seats: 3},
-			"free": {TargetMs: 500, GiveUpMs: 1000, Value: 1, Floor: 1}},
+		Classes: map[string]Class{"paid": {AtMostOnce: true, TargetMs: 500, GiveUpMs: 1000, Value: 3, MaxPerTitle: 3},
+			"free": {TargetMs: 500, GiveUpMs: 1000, Value: 1, MinRung: 1}},
 		Titles: map[string]Title{"paid-title": {"paid", 10000}, "free-title": {"free", 10000}},
-		Boxes:  map[string]string{"a0": "b0", "a1": "b1"}, Worth: []float64{0.5, 1},
-		SlackMs: 40, GraceMs: 250, Places: 20, WarmMs: 10000, ColdFrom: 0.5, Factor: 2, TipMs: 1000, Shortfall: 6,
+		Nodes:  map[string]string{"a0": "b0", "a1": "b1"}, Worth: []float64{0.5, 1},
+		SlackMs: 40, GraceMs: 250, StreamsPerNode: 20, WarmUpMs: 10000, ColdRateFraction: 0.5, ColdOverloadFactor: 2, ColdWindowMs: 1000, ShortfallPenalty: 6,
 		RetryBudgetEnabled: true, MinRetries: 1, RetryRatio: 0, RetryWindowMs: 5000}
 }
 
@@ -104,12 +104,12 @@
 // verify sorts the records by time, as relays write them, and checks them.
 func verify(r *recording) *Report {
 	sort.SliceStable(r.records, func(i, j int) bool { return r.records[i].AtMs < r.records[j].AtMs })
-	return Judge(r.records, testTerms())
+	return Verify(r.records, testTerms())
 }
 
 func TestValidRecording(t *testing.T) {
 	report := verify(validRecording())
-	if !report.OK() || report.Asked != 1 || report.AnsweredOnce != 1 || report.Plays != 1 || report.Setups != 1 ||
+	if !report.OK() || report.Requests != 1 || report.AnsweredOnce != 1 || report.Plays != 1 || report.Setups != 1 ||
 		report.SetupP50 != 40 {
 		t.Fatalf("%+v", report)
 	}
@@ -128,7 +128,7 @@
 		"no answer": {func(r *recording) { r.exchange("d0", 300, manifestRequest("j2", "free"), 0, "") },
 			func(r *Report) int { return r.Unanswered }},
 		"connection closed without an answer": {func(r *recording) {
-			r.add(relay.BackEnd, 400, "d0", r.exchange("d0", 300, manifestRequest("j2", "free"), 0, ""), "")
+			r.add(relay.ServerEnd, 400, "d0", r.exchange("d0", 300, manifestRequest("j2", "free"), 0, ""), "")
 		},
 			func(r *Report) int { return r.Unanswered }},
 		"incomplete answer": {func(r *recording) {
@@ -147,38 +147,38 @@
 		"paid set up again after it may have run": {func(r *recording) {
 			r.exchange("b0", 300, setupRequest("d0.2", "j2", "paid", 0), 310, emptyResponse(500))
 			r.exchange("b1", 400, setupRequest("d0.3", "j2", "paid", 0), 410, notRunResponse)
-		}, func(r *Report) int { return r.PaidTwice }},
+		}, func(r *Report) int { return r.AtMostOnceRepeated }},
 		"paid set up again while an attempt is pending": {func(r *recording) {
 			r.exchange("b0", 300, setupRequest("d0.2", "j2", "paid", 0), 900, notRunResponse)
 			r.exchange("b1", 400, setupRequest("d0.3", "j2", "paid", 0), 910, notRunResponse)
-		}, func(r *Report) int { return r.PaidTwice }},
+		}, func(r *Report) int { return r.AtMostOnceRepeated }},
 		"paid set up by two directors": {func(r *recording) {
 			r.exchange("b0", 300,
 				strings.ReplaceAll(setupRequest("d1.2", "j1", "paid", 0), "director=d0", "director=d1"),
 				310, notRunResponse)
-		}, func(r *Report) int { return r.PaidTwice }},
+		}, func(r *Report) int { return r.AtMostOnceRepeated }},
 		"paid refused after it may have run": {func(r *recording) {
 			r.exchange("d0", 300, manifestRequest("j2", "paid"), 400, emptyResponse(503))
-			r.add(relay.BackEnd, 390, "b0", r.exchange("b0", 310, setupRequest("d0.2", "j2", "paid", 0), 0, ""), "")
+			r.add(relay.ServerEnd, 390, "b0", r.exchange("b0", 310, setupRequest("d0.2", "j2", "paid", 0), 0, ""), "")
 		}, func(r *Report) int { return r.WrongRefusals }},
 		"two attempts at a time": {func(r *recording) {
 			r.exchange("b0", 300, setupRequest("d0.2", "j2", "free", 1), 700, emptyResponse(500))
 			r.exchange("b1", 500, setupRequest("d0.2", "j2", "free", 1), 510, emptyResponse(500))
-		}, func(r *Report) int { return r.TwoAttempts }},
+		}, func(r *Report) int { return r.ConcurrentAttempts }},
 		"another attempt while the session plays": {func(r *recording) {
 			r.exchange("b0", 300, setupRequest("d0.2", "j2", "free", 1), 310, emptyResponse(201))
 			r.exchange("b1", 500, setupRequest("d0.2", "j2", "free", 1), 510, emptyResponse(500))
-		}, func(r *Report) int { return r.TwoAttempts }},
+		}, func(r *Report) int { return r.ConcurrentAttempts }},
 		"sent after a drain": {func(r *recording) {
 			r.exchange("d0/list", 200, "GET /list HTTP/1.1\r\nHost: x\r\n\r\n", 201,
 				eventStream(nodeListEvent(false, "draining", "x", 0)))
 			r.exchange("b0", 452, setupRequest("d0.2", "j2", "free", 1), 460, emptyResponse(500))
-		}, func(r *Report) int { return r.DrainLate }},
+		}, func(r *Report) int { return r.SetupsAfterDrain }},
 		"sent after removal from the node list": {func(r *recording) {
 			r.exchange("d0/list", 200, "GET /list HTTP/1.1\r\nHost: x\r\n\r\n", 201,
 				eventStream("data: {\"full\":true,\"servers\":[]}\n\n"))
 			r.exchange("b0", 452, setupRequest("d0.2", "j2", "free", 1), 460, emptyResponse(500))
-		}, func(r *Report) int { return r.DrainLate }},
+		}, func(r *Report) int { return r.SetupsAfterDrain }},
 		"too many set-ups on a cold media node": {func(r *recording) {
 			// The pace is at most 2 a second: 4 within a second and two more are allowed.
 			r.exchange("d0/list", 200, "GET /list HTTP/1.1\r\nHost: x\r\n\r\n", 201,
@@ -188,35 +188,35 @@
 				r.exchange("b0", 300+float64(i)*10, setupRequest(s, "j"+s, "free", 1), 305+float64(i)*10,
 					emptyResponse(500))
 			}
-		}, func(r *Report) int { return r.ColdPushed }},
+		}, func(r *Report) int { return r.ColdStartOverloads }},
 		"cold media node crashed": {func(r *recording) { r.mark(500, "b0", "fell") },
-			func(r *Report) int { return r.ColdPushed }},
+			func(r *Report) int { return r.ColdStartOverloads }},
 		"over the per-title session cap": {func(r *recording) {
 			r.exchange("b0", 300, setupRequest("d0.2", "j2", "paid", 0), 310, emptyResponse(201))
 			r.exchange("b0", 320, setupRequest("d0.4", "j4", "paid", 0), 330, emptyResponse(201))
 			r.exchange("b0", 400, setupRequest("d0.3", "j3", "paid", 0), 500, notRunResponse)
-		}, func(r *Report) int { return r.SeatsExceeded }},
+		}, func(r *Report) int { return r.TitleCapExceeded }},
 		"set up below the lowest rung": {func(r *recording) {
 			r.exchange("b0", 300, setupRequest("d0.2", "j2", "free", 0), 310, emptyResponse(500))
 		},
-			func(r *Report) int { return r.UnderFloor }},
+			func(r *Report) int { return r.BelowMinRung }},
 		"lowered below the lowest rung": {func(r *recording) {
 			r.exchange("b0", 300, setupRequest("d0.2", "j2", "free", 1), 310, emptyResponse(201))
 			r.exchange("b0", 400, "PATCH /sessions/d0.2 HTTP/1.1\r\nHost: x\r\nContent-Type: application/x-www-form-urlencoded\r\nContent-Length: 6\r\n\r\nrung=0", 410, emptyResponse(204))
-		}, func(r *Report) int { return r.UnderFloor }},
+		}, func(r *Report) int { return r.BelowMinRung }},
 		"over the retry budget": {func(r *recording) {
 			for i := range 3 {
 				r.exchange("b1", 300+float64(i)*100, setupRequest("d0.2", "j2", "free", 1), 310+float64(i)*100,
 					emptyResponse(500))
 			}
-		}, func(r *Report) int { return r.RationExceeded }},
+		}, func(r *Report) int { return r.RetryBudgetExceeded }},
 	} {
 		r := validRecording()
 		c.spoil(r)
 		report := verify(r)
-		if c.count(report) != 1 || len(report.Broken) != 1 || report.OK() {
+		if c.count(report) != 1 || len(report.Violations) != 1 || report.OK() {
 			t.Errorf("%s: %d violations of the expected kind, %d in all: %q", name, c.count(report),
-				len(report.Broken), report.Broken)
+				len(report.Violations), report.Violations)
 		}
 	}
 }
@@ -260,15 +260,15 @@
 	} {
 		r := validRecording()
 		if c.setup {
-			r.add(relay.BackEnd, 320, "b0", r.exchange("b0", 305, setupRequest("d0.2", "j2", "paid", 0), 0, ""), "")
+			r.add(relay.ServerEnd, 320, "b0", r.exchange("b0", 305, setupRequest("d0.2", "j2", "paid", 0), 0, ""), "")
 		}
 		r.exchange("d0", 300, up, 330, c.back)
 		report := verify(r)
-		if report.Sockets != 1 || report.Asked != 2 {
+		if report.SessionAPIRequests != 1 || report.Requests != 2 {
 			t.Fatalf("%s: %+v", name, report)
 		}
-		if c.count == nil && !report.OK() || c.count != nil && (c.count(report) != 1 || len(report.Broken) != 1) {
-			t.Errorf("%s: %q", name, report.Broken)
+		if c.count == nil && !report.OK() || c.count != nil && (c.count(report) != 1 || len(report.Violations) != 1) {
+			t.Errorf("%s: %q", name, report.Violations)
 		}
 	}
 }
@@ -286,8 +286,8 @@
 	}
 	r.exchange("d0", 5000, manifestRequest("e", "free"), 5005, emptyResponse(307))
 	report := verify(r)
-	if report.FirstTries != 21 || report.FirstInTime != 1 || report.RushPerS != 21 && report.RushPerS != 20 ||
-		report.ReturnsPerS != 6 {
+	if report.FirstRequests != 21 || report.FirstRequestsInTime != 1 || report.PeakFirstRequestsPerS != 21 && report.PeakFirstRequestsPerS != 20 ||
+		report.PeakRetriesPerS != 6 {
 		t.Errorf("%+v", report)
 	}
 }
@@ -296,11 +296,11 @@
 func TestNoFalsePositives(t *testing.T) {
 	for name, spoil := range map[string]func(r *recording){
 		"viewer disconnected first": func(r *recording) {
-			r.add(relay.ForthEnd, 400, "d0", r.exchange("d0", 300, manifestRequest("j2", "free"), 0, ""), "")
+			r.add(relay.ClientEnd, 400, "d0", r.exchange("d0", 300, manifestRequest("j2", "free"), 0, ""), "")
 		},
 		"pending when the director was killed": func(r *recording) {
 			r.mark(399, "d0", "killed")
-			r.add(relay.BackEnd, 400, "d0", r.exchange("d0", 300, manifestRequest("j2", "free"), 0, ""), "")
+			r.add(relay.ServerEnd, 400, "d0", r.exchange("d0", 300, manifestRequest("j2", "free"), 0, ""), "")
 		},
 		"paid set up again after an attempt that never ran": func(r *recording) {
 			r.exchange("b0", 300, setupRequest("d0.2", "j2", "paid", 0), 310, notRunResponse)
@@ -323,13 +323,13 @@
 			r.exchange("b0", 900, setupRequest("d0.2", "j2", "free", 1), 910, emptyResponse(500))
 		},
 		"incomplete request": func(r *recording) {
-			r.add(relay.Forth, 300, "d0", 99, "GET /dash/x/manifest.mpd HTTP/1.1\r\nHo")
+			r.add(relay.ClientData, 300, "d0", 99, "GET /dash/x/manifest.mpd HTTP/1.1\r\nHo")
 		},
 	} {
 		r := validRecording()
 		spoil(r)
 		if report := verify(r); !report.OK() {
-			t.Errorf("%s: %q", name, report.Broken)
+			t.Errorf("%s: %q", name, report.Violations)
 		}
 	}
 }
--- a/internal/audit/viewer_requests.go
+++ b/internal/audit/viewer_requests.go
@@ -113,7 +113,7 @@
 		out = append(out, viewerRequest{c.relay, "open", claims, f.at, never, 0, nil,
 			c.fromClient.endedAt, c.fromServer.endedAt})
 	}
-	v.report.Sockets += len(out)
+	v.report.SessionAPIRequests += len(out)
 	for _, f := range frames(&c.fromServer) {
 		var m pb.ServerMessage
 		if f.opcode != 2 || proto.Unmarshal(f.payload, &m) != nil || m.Id == 0 {
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -51,8 +51,8 @@
 	lastRequest idempotency.RequestID
 }
 
-// ServePlain runs a Baseline server on listener with media nodes at the given addresses.
-func ServePlain(settings *config.Settings, keys []token.Key, nodes []string, listener net.Listener) error {
+// ServeBaseline runs a Baseline server on listener with media nodes at the given addresses.
+func ServeBaseline(settings *config.Settings, keys []token.Key, nodes []string, listener net.Listener) error {
 	out, err := os.OpenFile(settings.Log.File, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
@@ -61,7 +61,7 @@
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}},
 		log:    slog.New(slog.NewJSONHandler(logfile.New(out, 8192), nil)),
 		ledger: idempotency.New(idempotency.Config{MaxEntries: 1 << 20, MaxWaiters: 8, FirstStart: true})}
-	if b.controller, err = headmill.New(settings.Module(), 1); err != nil {
+	if b.controller, err = headmill.New(settings.ModuleConfig(), 1); err != nil {
 		return err
 	}
 	event := headmill.Event{Kind: headmill.EvNodes}
@@ -148,20 +148,20 @@
 	id := headmill.SessionID(session)
 	b.mu.Lock()
 	b.controller.Step(b.nowMs(), []headmill.Event{{Kind: headmill.EvAttemptPlaying, Session: id, Node: node},
-		{Kind: headmill.EvFeedback, Session: id, Node: node, Feedback: headmill.FeedbackLinkLoad, Value: load.X0}}, nil)
+		{Kind: headmill.EvFeedback, Session: id, Node: node, Feedback: headmill.FeedbackLinkLoad, FeedbackValue: load.LinkLoad}}, nil)
 	b.ledger.Step(b.nowMs(), []idempotency.Event{{Kind: idempotency.SetupSucceeded, Session: session}}, nil)
 	b.mu.Unlock()
 	time.AfterFunc(sessionMs*time.Millisecond, func() {
 		b.mu.Lock()
 		b.controller.Step(b.nowMs(), []headmill.Event{{Kind: headmill.EvAttemptEnded, Session: id, Node: node,
-			Outcome: headmill.Served, SessionOver: true}}, nil)
+			Outcome: headmill.OutcomeServed, SessionOver: true}}, nil)
 		b.ledger.Step(b.nowMs(), []idempotency.Event{{Kind: idempotency.SessionEnded, Session: session}}, nil)
 		b.mu.Unlock()
 	})
-	manifest := dash.Manifest{Base: resp.Header.Get("Location"), Token: rawToken, DurationMs: title.DurationMs,
+	manifest := dash.Manifest{BaseURL: resp.Header.Get("Location"), Token: rawToken, DurationMs: title.DurationMs,
 		SegmentMs: b.settings.Ladder.SegmentMs}
 	for i := 0; i <= rung; i++ {
-		manifest.Reps = append(manifest.Reps, dash.Representation{ID: "r" + strconv.Itoa(i),
+		manifest.Representations = append(manifest.Representations, dash.Representation{ID: "r" + strconv.Itoa(i),
 			KBps: b.settings.Ladder.RateKB[i] * class.RateScale})
 	}
 	w.Header().Set("Content-Type", "application/dash+xml")
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -100,10 +100,10 @@
 		P50Ms: float64(latencies.ValueAtQuantile(50)) / 1000, P99Ms: float64(latencies.ValueAtQuantile(99)) / 1000}, nil
 }
 
-// Idle opens connections that make one request and then stay idle, and returns the resident memory in bytes that
+// IdleConnectionBytes opens connections that make one request and then stay idle, and returns the resident memory in bytes that
 // each of them adds to the process.
-func Idle(addr string, pid, conns int) (float64, error) {
-	before := Resident(pid)
+func IdleConnectionBytes(addr string, pid, conns int) (float64, error) {
+	before := ResidentBytes(pid)
 	var open []net.Conn
 	defer func() {
 		for _, c := range open {
@@ -124,11 +124,11 @@
 			return 0, err
 		}
 	}
-	return (Resident(pid) - before) / float64(conns), nil
+	return (ResidentBytes(pid) - before) / float64(conns), nil
 }
 
-// Resident returns a process's resident memory in bytes (VmRSS in /proc/PID/status), or 0 if it cannot be read.
-func Resident(pid int) float64 {
+// ResidentBytes returns a process's resident memory in bytes (VmRSS in /proc/PID/status), or 0 if it cannot be read.
+func ResidentBytes(pid int) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(text), "\n") {
 		if fields := strings.Fields(line); len(fields) > 1 && fields[0] == "VmRSS:" {
--- a/internal/bench/node.go
+++ b/internal/bench/node.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Hold makes sessions last until the director ends them.
-func (n *Node) Hold() {
+// HoldSessions makes sessions last until the director ends them.
+func (n *Node) HoldSessions() {
 	n.mu.Lock()
 	n.hold = true
 	n.mu.Unlock()
@@ -93,7 +93,7 @@
 				continue
 			}
 			name := string(parser.Msg.Target[len("/sessions/"):])
-			out = http1.AppendStatus(out[:0], 201)
+			out = http1.AppendStatusLine(out[:0], 201)
 			out = append(out, "endpoint-load-metrics: TEXT named_metrics.inflight=10, named_metrics.x0=0.3, named_metrics.x1=0.3\r\nLocation: http://"...)
 			out = append(append(append(out, n.Addr()...), "/v/"...), name...)
 			out = append(out, "/\r\nContent-Length: 0\r\n\r\n"...)
--- a/internal/bench/websocket.go
+++ b/internal/bench/websocket.go
@@ -16,8 +16,8 @@
 	pb "headmill/internal/api/sessionv1"
 )
 
-// SocketResult is the cost of many players that are connected to one director over the session API.
-type SocketResult struct {
+// WebSocketResult is the cost of many players that are connected to one director over the session API.
+type WebSocketResult struct {
 	Connections int     `json:"connections"`
 	BytesEach   float64 `json:"bytes_each"`   // resident memory per connection with one session
 	OpenedPerS  float64 `json:"opened_per_s"` // sessions
@@ -27,13 +27,13 @@
 	MaxMs       float64 `json:"push_max_ms"`
 }
 
-// Sockets opens one connection with one session for each token. It then calls push, which must make the director
+// MeasureWebSockets opens one connection with one session for each token. It then calls push, which must make the director
 // change all rungs, and measures when the players receive the changes. It waits for at most the given time, and
 // less once no more changes arrive.
-func Sockets(addr string, pid int, tokens []string, push func(), wait time.Duration) (r SocketResult, err error) {
+func MeasureWebSockets(addr string, pid int, tokens []string, push func(), wait time.Duration) (r WebSocketResult, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	before := Resident(pid)
+	before := ResidentBytes(pid)
 	latencies := hdrhistogram.New(1, 60_000_000, 3) // us
 	var mu sync.Mutex
 	var pushed atomic.Int64
@@ -92,7 +92,7 @@
 	}
 	r.Connections, r.OpenedPerS = len(tokens), float64(len(tokens))/time.Since(startedAt).Seconds()
 	time.Sleep(time.Second)
-	r.BytesEach = (Resident(pid) - before) / float64(len(tokens))
+	r.BytesEach = (ResidentBytes(pid) - before) / float64(len(tokens))
 	pushedAt.Store(time.Now().UnixNano())
 	push()
 	for last, end := int64(-1), time.Now().Add(wait); time.Now().Before(end) &&
--- a/internal/cmcd/cmcd.go
+++ b/internal/cmcd/cmcd.go
@@ -32,43 +32,43 @@
 
 // Record holds the values of one list. Absent numbers are NaN, absent texts are empty.
 type Record struct {
-	Bitrate    float64 // br, kbit/s: encoded bitrate of the object requested or played
-	Buffer     float64 // bl, ms: buffer length
-	Starved    bool    // bs: the buffer ran empty since the last request
-	Throughput float64 // mtp, kbit/s: measured throughput
-	Requested  float64 // rtp, kbit/s: requested maximum throughput
-	Top        float64 // tb, kbit/s of the highest rung that the player can use
-	Startup    bool    // su: needed urgently, for start-up, after a seek or after a stall
-	Session    string  // sid: session ID
-	Content    string  // cid: content ID
-	Rate       float64 // pr: playback rate; 1 is real time
-	Deadline   float64 // dl, ms: time until the buffer runs empty
-	Duration   float64 // d, ms: duration of the object
-	Version    int     // v: version of CMCD; 1 if absent
+	Bitrate             float64 // br, kbit/s: encoded bitrate of the object requested or played
+	Buffer              float64 // bl, ms: buffer length
+	Starved             bool    // bs: the buffer ran empty since the last request
+	Throughput          float64 // mtp, kbit/s: measured throughput
+	RequestedThroughput float64 // rtp, kbit/s: requested maximum throughput
+	MaxBitrate          float64 // tb, kbit/s of the highest rung that the player can use
+	Startup             bool    // su: needed urgently, for start-up, after a seek or after a stall
+	Session             string  // sid: session ID
+	Content             string  // cid: content ID
+	Rate                float64 // pr: playback rate; 1 is real time
+	Deadline            float64 // dl, ms: time until the buffer runs empty
+	Duration            float64 // d, ms: duration of the object
+	Version             int     // v: version of CMCD; 1 if absent
 
-	Event    string  // e: type of the event (version 2)
-	At       float64 // ts, ms since the Unix epoch on the player's clock
-	Number   int64   // sn: sequence number; -1 if absent
-	State    State   // sta: state of the player
-	Starve   float64 // bsd, ms: duration of the stall that ended
-	Delay    float64 // msd, ms: start delay, from the request to the first picture
-	Playhead float64 // pt, ms: position in the content
+	Event          string  // e: type of the event (version 2)
+	TimestampMs    float64 // ts, ms since the Unix epoch on the player's clock
+	SequenceNumber int64   // sn: sequence number; -1 if absent
+	State          State   // sta: state of the player
+	StallMs        float64 // bsd, ms: duration of the stall that ended
+	StartDelayMs   float64 // msd, ms: start delay, from the request to the first picture
+	Playhead       float64 // pt, ms: position in the content
 
 	Unknown map[string]string // keys that this package does not interpret, including custom ones (with a hyphen)
-	Bad     []string          // keys with a value of the wrong type or range
+	Invalid []string          // keys with a value of the wrong type or range
 }
 
 // The bounds of one list; what exceeds them is ignored and reported as "(more)" in Bad.
 const (
-	MaxText = 2048 // bytes
-	MaxKeys = 48
+	MaxListBytes = 2048 // bytes
+	MaxKeys      = 48
 )
 
 // New returns a record in which all keys are absent.
 func New() Record {
 	n := math.NaN()
-	return Record{Bitrate: n, Buffer: n, Throughput: n, Requested: n, Top: n, Rate: n, Deadline: n, Duration: n, At: n,
-		Starve: n, Delay: n, Playhead: n, Number: -1, Version: 1}
+	return Record{Bitrate: n, Buffer: n, Throughput: n, RequestedThroughput: n, MaxBitrate: n, Rate: n, Deadline: n, Duration: n, TimestampMs: n,
+		StallMs: n, StartDelayMs: n, Playhead: n, SequenceNumber: -1, Version: 1}
 }
 
 // Parse parses one list.
@@ -112,15 +112,15 @@
 
 // markInvalid adds a key to Bad, up to MaxKeys.
 func (r *Record) markInvalid(key string) {
-	if len(r.Bad) < MaxKeys {
-		r.Bad = append(r.Bad, key)
+	if len(r.Invalid) < MaxKeys {
+		r.Invalid = append(r.Invalid, key)
 	}
 }
 
 // Add parses another list into the record; the last valid value of a repeated key is used.
 func (r *Record) Add(text string) {
-	if len(text) > MaxText {
-		text = text[:MaxText]
+	if len(text) > MaxListBytes {
+		text = text[:MaxListBytes]
 		r.markInvalid("(more)")
 	}
 	for n := 0; text != ""; n++ {
@@ -177,11 +177,11 @@
 // numericFields maps the keys whose value is a non-negative number to the field that holds it.
 var numericFields = map[string]func(*Record) *float64{
 	"br": func(r *Record) *float64 { return &r.Bitrate }, "bl": func(r *Record) *float64 { return &r.Buffer },
-	"mtp": func(r *Record) *float64 { return &r.Throughput }, "rtp": func(r *Record) *float64 { return &r.Requested },
-	"tb": func(r *Record) *float64 { return &r.Top }, "pr": func(r *Record) *float64 { return &r.Rate },
+	"mtp": func(r *Record) *float64 { return &r.Throughput }, "rtp": func(r *Record) *float64 { return &r.RequestedThroughput },
+	"tb": func(r *Record) *float64 { return &r.MaxBitrate }, "pr": func(r *Record) *float64 { return &r.Rate },
 	"dl": func(r *Record) *float64 { return &r.Deadline }, "d": func(r *Record) *float64 { return &r.Duration },
-	"ts": func(r *Record) *float64 { return &r.At }, "bsd": func(r *Record) *float64 { return &r.Starve },
-	"msd": func(r *Record) *float64 { return &r.Delay }, "pt": func(r *Record) *float64 { return &r.Playhead },
+	"ts": func(r *Record) *float64 { return &r.TimestampMs }, "bsd": func(r *Record) *float64 { return &r.StallMs },
+	"msd": func(r *Record) *float64 { return &r.StartDelayMs }, "pt": func(r *Record) *float64 { return &r.Playhead },
 }
 
 func (r *Record) setField(key, value string, hasValue bool) {
@@ -234,7 +234,7 @@
 			r.markInvalid(key)
 			return
 		}
-		r.Number = n
+		r.SequenceNumber = n
 	case "e":
 		if value == "" || len(value) > 4 {
 			r.markInvalid(key)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,7 +23,7 @@
 // Settings holds the whole file. Times are in ms, rates in kB/s and sizes in bytes unless a name says otherwise.
 type Settings struct {
 	Director  Director  `toml:"director"`
-	List      List      `toml:"list"`
+	Discovery Discovery `toml:"list"`
 	Tokens    Tokens    `toml:"tokens"`
 	Limits    Limits    `toml:"limits"`
 	Times     Times     `toml:"times"`
@@ -56,31 +56,31 @@
 
 // Admission configures admission control, which runs before the decision module: see docs/operate/limits.md.
 type Admission struct {
-	PassAll     bool    `toml:"pass_all"`     // admit every request
-	MinRetryMs  float64 `toml:"min_retry_ms"` // smallest retry advice
-	RememberMs  float64 `toml:"remember_ms"`  // how long refused requests are remembered
-	Wishes      int     `toml:"wishes"`       // refused requests remembered at most
-	LagMs       float64 `toml:"lag_ms"`       // event loop lag that counts as full load
-	Queue       float64 `toml:"queue"`        // waiting events that count as full load
-	MemoryBytes float64 `toml:"memory_bytes"` // memory use that counts as full load; 0: not considered
+	AdmitAll        bool    `toml:"pass_all"`     // admit every request
+	MinRetryAfterMs float64 `toml:"min_retry_ms"` // smallest retry advice
+	RetryMemoryMs   float64 `toml:"remember_ms"`  // how long refused requests are remembered
+	MaxRefusals     int     `toml:"wishes"`       // refused requests remembered at most
+	FullLagMs       float64 `toml:"lag_ms"`       // event loop lag that counts as full load
+	FullQueue       float64 `toml:"queue"`        // waiting events that count as full load
+	FullMemoryBytes float64 `toml:"memory_bytes"` // memory use that counts as full load; 0: not considered
 }
 
 // Quality configures the evaluation of players' reports: see docs/operate/quality.md.
 type Quality struct {
-	WindowMs    float64 `toml:"window_ms"`    // length of a window of event time
-	LateMs      float64 `toml:"late_ms"`      // allowed lateness of reports
-	SkewMs      float64 `toml:"skew_ms"`      // largest clock skew assumed of a player
-	KeepMs      float64 `toml:"keep_ms"`      // how long the timeline of an ended session is kept
-	LookMs      float64 `toml:"look_ms"`      // interval between runs of the detector
-	ConfirmMs   float64 `toml:"confirm_ms"`   // how long a cause must explain most before it is reported
-	Groups      int     `toml:"groups"`       // groups in a window at most
-	SwitchCost  float64 `toml:"switch_cost"`  // quality units per unit of quality change
-	StallCost   float64 `toml:"stall_cost"`   // quality units per second of stall
-	StartCost   float64 `toml:"start_cost"`   // quality units per second of start-up
-	ShortUnder  float64 `toml:"short_under"`  // fraction of the granted rate under which a session is short
-	MinSessions int     `toml:"min_sessions"` // of a group, for a finding
-	MinScore    float64 `toml:"min_score"`    // log-likelihood gain required of a finding
-	Relieve     bool    `toml:"relieve"`      // findings on racks and nodes are reported to the decision module
+	WindowMs           float64 `toml:"window_ms"`    // length of a window of event time
+	AllowedLatenessMs  float64 `toml:"late_ms"`      // allowed lateness of reports
+	MaxClockSkewMs     float64 `toml:"skew_ms"`      // largest clock skew assumed of a player
+	SessionRetentionMs float64 `toml:"keep_ms"`      // how long the timeline of an ended session is kept
+	DetectIntervalMs   float64 `toml:"look_ms"`      // interval between runs of the detector
+	ConfirmMs          float64 `toml:"confirm_ms"`   // how long a cause must explain most before it is reported
+	MaxGroups          int     `toml:"groups"`       // groups in a window at most
+	SwitchCost         float64 `toml:"switch_cost"`  // quality units per unit of quality change
+	StallCost          float64 `toml:"stall_cost"`   // quality units per second of stall
+	StartupCost        float64 `toml:"start_cost"`   // quality units per second of start-up
+	ShortfallBelow     float64 `toml:"short_under"`  // fraction of the granted rate under which a session is short
+	MinSessions        int     `toml:"min_sessions"` // of a group, for a finding
+	MinScore           float64 `toml:"min_score"`    // log-likelihood gain required of a finding
+	Relieve            bool    `toml:"relieve"`      // findings on racks and nodes are reported to the decision module
 }
 
 // History configures the storage of closed windows: see docs/operate/quality.md.
@@ -93,8 +93,8 @@
 
 // Trace configures tracing.
 type Trace struct {
-	File string  `toml:"file"` // relative to the settings file; empty: none
-	Part float64 `toml:"part"` // sampling ratio of sessions, 0 to 1
+	File        string  `toml:"file"` // relative to the settings file; empty: none
+	SampleRatio float64 `toml:"part"` // sampling ratio of sessions, 0 to 1
 }
 
 // Tenant configures the capacity share of one tenant.
@@ -104,14 +104,14 @@
 	MaxShare float64 `toml:"most"`  // largest fraction of the capacity, borrowed capacity included; 0: no cap
 }
 
-// List configures the discovery service.
-type List struct {
+// Discovery configures the discovery service.
+type Discovery struct {
 	Addr    string  `toml:"addr"` // IPv4:PORT
 	Path    string  `toml:"path"`
 	RetryMs float64 `toml:"retry_ms"` // pause before reconnecting
 	// SilentMs is the time without a byte after which the stream is considered broken; the service sends comments as
 	// heartbeats.
-	SilentMs float64 `toml:"silent_ms"`
+	StreamTimeoutMs float64 `toml:"silent_ms"`
 }
 
 // Tokens configures the verification of session tokens.
@@ -132,7 +132,7 @@
 	Fields            int `toml:"fields"`         // header fields of a request
 	Body              int `toml:"body"`           // bytes of a request body
 	Output            int `toml:"output"`         // bytes buffered for one viewer
-	Entries           int `toml:"entries"`        // entries of the idempotency ledger
+	LedgerEntries     int `toml:"entries"`        // entries of the idempotency ledger
 	Waiters           int `toml:"waiters"`        // requests that wait for one session
 	Nodes             int `toml:"boxes"`          // media nodes
 	IdleConnsPerNode  int `toml:"pool_per_box"`   // idle pooled connections to a media node
@@ -240,19 +240,19 @@
 // Default returns the settings of an empty file.
 func Default() Settings {
 	return Settings{
-		Director: Director{Listen: "127.0.0.1:0"},
-		List:     List{Path: "/list", RetryMs: 250, SilentMs: 5000},
-		Tokens:   Tokens{SkewMs: 250, Cache: 8192, Queue: 1024},
+		Director:  Director{Listen: "127.0.0.1:0"},
+		Discovery: Discovery{Path: "/list", RetryMs: 250, StreamTimeoutMs: 5000},
+		Tokens:    Tokens{SkewMs: 250, Cache: 8192, Queue: 1024},
 		Limits: Limits{Connections: 20000, Line: 4608, Head: 16384, Fields: 64, Body: 65536,
-			Output: 262144, Entries: 200000, Waiters: 8, Nodes: 1024, IdleConnsPerNode: 64, EventBytes: 1 << 20,
+			Output: 262144, LedgerEntries: 200000, Waiters: 8, Nodes: 1024, IdleConnsPerNode: 64, EventBytes: 1 << 20,
 			ConnsPerNode: 512, Sessions: 100000, CommandsPerNode: 4096, TotalOutput: 256 << 20, Reports: 16 << 20,
 			Timelines: 64 << 20, Message: 16384, PendingPerSocket: 16, SessionsPerSocket: 64, SocketSessions: 100000},
-		Quality: Quality{WindowMs: 5000, LateMs: 25000, SkewMs: 3600e3, KeepMs: 120000, LookMs: 500,
-			ConfirmMs: 1500, Groups: 4096, SwitchCost: 1, StallCost: 3, StartCost: 0.2, ShortUnder: 0.9,
+		Quality: Quality{WindowMs: 5000, AllowedLatenessMs: 25000, MaxClockSkewMs: 3600e3, SessionRetentionMs: 120000, DetectIntervalMs: 500,
+			ConfirmMs: 1500, MaxGroups: 4096, SwitchCost: 1, StallCost: 3, StartupCost: 0.2, ShortfallBelow: 0.9,
 			MinSessions: 6, MinScore: 8, Relieve: true},
-		Trace:     Trace{Part: 0.01},
+		Trace:     Trace{SampleRatio: 0.01},
 		History:   History{SegmentS: 60, MaxBytes: 256 << 20, MaxAgeS: 30 * 86400},
-		Admission: Admission{MinRetryMs: 200, RememberMs: 30000, Wishes: 100000, LagMs: 100, Queue: 20000},
+		Admission: Admission{MinRetryAfterMs: 200, RetryMemoryMs: 30000, MaxRefusals: 100000, FullLagMs: 100, FullQueue: 20000},
 		Times: Times{HeadMs: 5000, IdleMs: 60000, WriteMs: 10000, ConnectMs: 250, NodeIdleMs: 15000, LateAnswerMs: 10000,
 			UnclaimedTTLMs: 8000, NodeStreamTimeoutMs: 3000, NodeTimeoutMs: 4000, SetupDrainMs: 6000,
 			SessionDrainMs: 10000, EndConfirmMs: 1000, CommandMs: 2000, AnswerMarginMs: 25, PingMs: 20000,
@@ -470,9 +470,9 @@
 			c.report("director.urls", "%q is not http://IPv4:PORT without a final slash", url)
 		}
 	}
-	c.checkAddr("list.addr", s.List.Addr, false)
-	if !strings.HasPrefix(s.List.Path, "/") {
-		c.report("list.path", "%q must begin with a slash", s.List.Path)
+	c.checkAddr("list.addr", s.Discovery.Addr, false)
+	if !strings.HasPrefix(s.Discovery.Path, "/") {
+		c.report("list.path", "%q must begin with a slash", s.Discovery.Path)
 	}
 	if s.Tokens.Keys == "" {
 		c.report("tokens.keys", "is needed: the file of a JSON Web Key Set (headmill token keys makes one)")
@@ -482,13 +482,13 @@
 		value   float64
 		minimum float64
 	}{
-		{"list.retry_ms", s.List.RetryMs, 10}, {"list.silent_ms", s.List.SilentMs, 100},
+		{"list.retry_ms", s.Discovery.RetryMs, 10}, {"list.silent_ms", s.Discovery.StreamTimeoutMs, 100},
 		{"tokens.skew_ms", s.Tokens.SkewMs, 0}, {"tokens.cache", float64(s.Tokens.Cache), 1},
 		{"tokens.workers", float64(s.Tokens.Workers), 0}, {"tokens.queue", float64(s.Tokens.Queue), 1},
 		{"limits.connections", float64(s.Limits.Connections), 1}, {"limits.line", float64(s.Limits.Line), 64},
 		{"limits.head", float64(s.Limits.Head), 128}, {"limits.fields", float64(s.Limits.Fields), 4},
 		{"limits.body", float64(s.Limits.Body), 0},
-		{"limits.output", float64(s.Limits.Output), 4096}, {"limits.entries", float64(s.Limits.Entries), 1},
+		{"limits.output", float64(s.Limits.Output), 4096}, {"limits.entries", float64(s.Limits.LedgerEntries), 1},
 		{"limits.waiters", float64(s.Limits.Waiters), 1}, {"limits.boxes", float64(s.Limits.Nodes), 1},
 		{"limits.pool_per_box", float64(s.Limits.IdleConnsPerNode), 0},
 		{"limits.event_bytes", float64(s.Limits.EventBytes), 1024},
@@ -510,20 +510,20 @@
 		{"limits.message", float64(s.Limits.Message), 1024}, {"limits.socket_opens", float64(s.Limits.PendingPerSocket), 1},
 		{"limits.socket_holds", float64(s.Limits.SessionsPerSocket), 1},
 		{"limits.sockets", float64(s.Limits.SocketSessions), 1},
-		{"gate.min_retry_ms", s.Admission.MinRetryMs, 0}, {"gate.remember_ms", s.Admission.RememberMs, 0},
-		{"gate.wishes", float64(s.Admission.Wishes), 1}, {"gate.lag_ms", s.Admission.LagMs, 1},
-		{"gate.queue", s.Admission.Queue, 1},
-		{"gate.memory_bytes", s.Admission.MemoryBytes, 0},
-		{"quality.window_ms", s.Quality.WindowMs, 100}, {"quality.late_ms", s.Quality.LateMs, 0},
-		{"quality.skew_ms", s.Quality.SkewMs, 0},
-		{"quality.keep_ms", s.Quality.KeepMs, 0}, {"quality.look_ms", s.Quality.LookMs, 50},
-		{"quality.confirm_ms", s.Quality.ConfirmMs, 0}, {"quality.groups", float64(s.Quality.Groups), 8},
+		{"gate.min_retry_ms", s.Admission.MinRetryAfterMs, 0}, {"gate.remember_ms", s.Admission.RetryMemoryMs, 0},
+		{"gate.wishes", float64(s.Admission.MaxRefusals), 1}, {"gate.lag_ms", s.Admission.FullLagMs, 1},
+		{"gate.queue", s.Admission.FullQueue, 1},
+		{"gate.memory_bytes", s.Admission.FullMemoryBytes, 0},
+		{"quality.window_ms", s.Quality.WindowMs, 100}, {"quality.late_ms", s.Quality.AllowedLatenessMs, 0},
+		{"quality.skew_ms", s.Quality.MaxClockSkewMs, 0},
+		{"quality.keep_ms", s.Quality.SessionRetentionMs, 0}, {"quality.look_ms", s.Quality.DetectIntervalMs, 50},
+		{"quality.confirm_ms", s.Quality.ConfirmMs, 0}, {"quality.groups", float64(s.Quality.MaxGroups), 8},
 		{"quality.switch_cost", s.Quality.SwitchCost, 0}, {"quality.stall_cost", s.Quality.StallCost, 0},
-		{"quality.start_cost", s.Quality.StartCost, 0}, {"quality.short_under", s.Quality.ShortUnder, 0},
+		{"quality.start_cost", s.Quality.StartupCost, 0}, {"quality.short_under", s.Quality.ShortfallBelow, 0},
 		{"quality.min_sessions", float64(s.Quality.MinSessions), 2}, {"quality.min_score", s.Quality.MinScore, 0},
 		{"history.segment_s", s.History.SegmentS, 0.1}, {"history.max_bytes", float64(s.History.MaxBytes), 0},
 		{"history.max_age_s", s.History.MaxAgeS, 0},
-		{"trace.part", s.Trace.Part, 0},
+		{"trace.part", s.Trace.SampleRatio, 0},
 		{"ladder.segment_ms", s.Ladder.SegmentMs, 100}, {"ladder.switch_s", s.Ladder.RungChangeCostS, 0},
 		{"fleet.cells", float64(s.Fleet.Cells), 1}, {"fleet.racks", float64(s.Fleet.Racks), 1},
 		{"fleet.link_unit_kb", s.Fleet.LinkKBPerWeight, 0}, {"fleet.all_links_kb", s.Fleet.TotalLinkKB, 0},
@@ -545,8 +545,8 @@
 	if director.Metrics != "" {
 		c.checkAddr("director.metrics", director.Metrics, true)
 	}
-	if s.Trace.Part > 1 {
-		c.report("trace.part", "%v is over 1, which is every session", s.Trace.Part)
+	if s.Trace.SampleRatio > 1 {
+		c.report("trace.part", "%v is over 1, which is every session", s.Trace.SampleRatio)
 	}
 	if director.Operator != "" {
 		c.checkAddr("director.operator", director.Operator, true)
@@ -567,7 +567,7 @@
 	c.checkClasses()
 	c.checkTitles()
 	if len(c.problems) == 0 { // the decision module validates its own settings
-		if cfg := s.Module(); cfg.Validate() != nil {
+		if cfg := s.ModuleConfig(); cfg.Validate() != nil {
 			c.report("fleet", "%v", cfg.Validate())
 		}
 	}
@@ -671,23 +671,23 @@
 	return -1
 }
 
-// Module returns the settings of the decision module.
-func (s *Settings) Module() headmill.Config {
+// ModuleConfig returns the settings of the decision module.
+func (s *Settings) ModuleConfig() headmill.Config {
 	cfg := headmill.Config{
-		Self: max(s.Self(), 0), Fronts: max(len(s.Director.Directors), 1), Zone: s.Director.Zone,
+		FrontIndex: max(s.Self(), 0), Fronts: max(len(s.Director.Directors), 1), Zone: s.Director.Zone,
 		RateKB: s.Ladder.RateKB, RungWorth: s.Ladder.Worth, RungChangeCostS: s.Ladder.RungChangeCostS,
 		Cells: s.Fleet.Cells, Racks: s.Fleet.Racks, StreamsByKind: s.Fleet.StreamsByKind,
 		LinkKBPerWeight: s.Fleet.LinkKBPerWeight, TotalLinkKB: s.Fleet.TotalLinkKB, UplinkKB: s.Fleet.UplinkKB,
 		WeightsKnown:     s.Fleet.WeightsKnown,
 		ReportIntervalMs: s.Fleet.ReportIntervalMs, ReportDelayMs: s.Fleet.ReportDelayMs, WarmUpMs: s.Fleet.WarmUpMs,
-		ColdRateFraction: s.Fleet.ColdRateFraction, MaxAttempts: s.Attempts.Max, RetryAfter: s.Attempts.RetryAfter,
+		ColdRateFraction: s.Fleet.ColdRateFraction, MaxAttempts: s.Attempts.Max, AdviseRetryAfter: s.Attempts.RetryAfter,
 		MaxRetryAfterMs: s.Attempts.MaxRetryAfterMs, RetryBudget: s.Attempts.RetryBudget,
 		RetryBudgetMin: s.Attempts.RetryBudgetMin, RetryBudgetRatio: s.Attempts.RetryBudgetRatio,
 		RetryBudgetWindowMs: s.Attempts.RetryBudgetWindowMs,
 	}
 	for i := range s.Classes {
 		class := &s.Classes[i]
-		moduleClass := headmill.Class{TargetMs: class.TargetMs, KeyTTLMs: class.KeyTTLMs, Value: class.Value,
+		moduleClass := headmill.Class{TargetMs: class.TargetMs, KeyTTLMs: class.KeyTTLMs, ValuePerSecond: class.Value,
 			RateScale: class.RateScale, MinRung: class.MinRung, MaxRung: class.MaxRung, MaxPerTitle: class.MaxPerTitle}
 		switch class.Semantics {
 		case "once":
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -59,8 +59,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := s.Module()
-	if s.Self() != 1 || m.Self != 1 || m.Fronts != 2 || m.Classes[0].Semantics != headmill.AtMostOnce ||
+	m := s.ModuleConfig()
+	if s.Self() != 1 || m.FrontIndex != 1 || m.Fronts != 2 || m.Classes[0].Semantics != headmill.AtMostOnce ||
 		m.Classes[0].MaxRung != 1 || m.Classes[1].MaxRung != 0 || m.Classes[0].MaxPerTitle != 5 ||
 		s.ClassIndex("free") != 1 || s.Times.SetupDrainMs != 6000 {
 		t.Fatalf("%+v\n%+v", s, m)
--- a/internal/dash/mpd.go
+++ b/internal/dash/mpd.go
@@ -25,11 +25,11 @@
 
 // Manifest holds the contents of an MPD that headmill writes.
 type Manifest struct {
-	Base       string // absolute URL of the session on its media node, with a trailing slash
-	Token      string // passed on to segment requests; base64url and dots
-	DurationMs float64
-	SegmentMs  float64
-	Reps       []Representation // by increasing rate
+	BaseURL         string // absolute URL of the session on its media node, with a trailing slash
+	Token           string // passed on to segment requests; base64url and dots
+	DurationMs      float64
+	SegmentMs       float64
+	Representations []Representation // by increasing rate
 }
 
 // Append appends the MPD to b.
@@ -41,7 +41,7 @@
 	b = append(b, `" minBufferTime="`...)
 	b = appendDuration(b, m.SegmentMs)
 	b = append(b, "\">\n  <BaseURL>"...)
-	b = appendEscaped(b, m.Base)
+	b = appendEscaped(b, m.BaseURL)
 	b = append(b, "</BaseURL>\n  <Period id=\"0\" start=\"PT0S\">\n    <AdaptationSet id=\"1\" contentType=\"video\""+
 		" mimeType=\"video/mp4\" codecs=\"avc1.42c01f\" segmentAlignment=\"true\" startWithSAP=\"1\">\n"...)
 	if m.Token != "" {
@@ -57,8 +57,8 @@
 	b = append(b, `" media="$RepresentationID$/$Number$.m4s`...)
 	b = m.appendTokenQuery(b)
 	b = append(b, "\"/>\n"...)
-	for i := range m.Reps {
-		r := &m.Reps[i]
+	for i := range m.Representations {
+		r := &m.Representations[i]
 		b = append(b, `      <Representation id="`...)
 		b = appendEscaped(b, r.ID)
 		b = append(b, `" bandwidth="`...)
@@ -153,10 +153,10 @@
 		return nil, fmt.Errorf("dash: mediaPresentationDuration %q is not PTnS", doc.Duration)
 	}
 	p := &Presentation{mediaTemplate: set.Template.Media, initTemplate: set.Template.Init, startNumber: set.Template.Start}
-	p.Base, p.DurationMs = strings.TrimSpace(doc.BaseURL), seconds*1000
+	p.BaseURL, p.DurationMs = strings.TrimSpace(doc.BaseURL), seconds*1000
 	p.SegmentMs = set.Template.Duration / set.Template.Timescale * 1000
 	for _, r := range set.Reps {
-		p.Reps = append(p.Reps, Representation{ID: r.ID, KBps: r.Bandwidth / 8000, Width: r.Width})
+		p.Representations = append(p.Representations, Representation{ID: r.ID, KBps: r.Bandwidth / 8000, Width: r.Width})
 	}
 	return p, nil
 }
@@ -166,12 +166,12 @@
 
 // Init returns the URL of the initialization segment of representation rep.
 func (p *Presentation) Init(rep int) string {
-	return p.Base + expandTemplate(p.initTemplate, p.Reps[rep].ID, 0)
+	return p.BaseURL + expandTemplate(p.initTemplate, p.Representations[rep].ID, 0)
 }
 
 // Media returns the URL of media segment i, counted from 0, of representation rep.
 func (p *Presentation) Media(rep, i int) string {
-	return p.Base + expandTemplate(p.mediaTemplate, p.Reps[rep].ID, p.startNumber+i)
+	return p.BaseURL + expandTemplate(p.mediaTemplate, p.Representations[rep].ID, p.startNumber+i)
 }
 
 // expandTemplate replaces the identifiers of a segment template (section 5.3.9.4.4).
--- a/internal/dash/mpd_test.go
+++ b/internal/dash/mpd_test.go
@@ -8,8 +8,8 @@
 )
 
 func testManifest() Manifest {
-	return Manifest{Base: "http://127.0.0.1:1/v/d0.1/", Token: "a.b-_c", DurationMs: 4500, SegmentMs: 2000,
-		Reps: []Representation{{"r1", 10, 640}, {"r2", 25.5, 1280}}}
+	return Manifest{BaseURL: "http://127.0.0.1:1/v/d0.1/", Token: "a.b-_c", DurationMs: 4500, SegmentMs: 2000,
+		Representations: []Representation{{"r1", 10, 640}, {"r2", 25.5, 1280}}}
 }
 
 func TestRoundTrip(t *testing.T) {
@@ -18,8 +18,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Base != m.Base || p.DurationMs != 4500 || p.SegmentMs != 2000 || len(p.Reps) != 2 ||
-		p.Reps[1] != (Representation{"r2", 25.5, 1280}) {
+	if p.BaseURL != m.BaseURL || p.DurationMs != 4500 || p.SegmentMs != 2000 || len(p.Representations) != 2 ||
+		p.Representations[1] != (Representation{"r2", 25.5, 1280}) {
 		t.Fatalf("%+v", p)
 	}
 	if p.Segments() != 3 {
@@ -51,7 +51,7 @@
 // Untrusted text cannot end an element or inject a template identifier.
 func TestUntrustedTextIsEscaped(t *testing.T) {
 	m := testManifest()
-	m.Base, m.Token = `http://x/</BaseURL><a b="&`, "$Number$&\"<>"
+	m.BaseURL, m.Token = `http://x/</BaseURL><a b="&`, "$Number$&\"<>"
 	text := m.Append(nil)
 	d := xml.NewDecoder(strings.NewReader(string(text)))
 	for {
@@ -62,10 +62,10 @@
 		}
 	}
 	p, err := Parse(text)
-	if err != nil || p.Base != m.Base {
-		t.Fatalf("%v %q", err, p.Base)
+	if err != nil || p.BaseURL != m.BaseURL {
+		t.Fatalf("%v %q", err, p.BaseURL)
 	}
-	if got := p.Media(0, 0); got != m.Base+"r1/1.m4s?token="+m.Token {
+	if got := p.Media(0, 0); got != m.BaseURL+"r1/1.m4s?token="+m.Token {
 		t.Errorf("media %s", got)
 	}
 }
--- a/internal/director/admission.go
+++ b/internal/director/admission.go
@@ -12,14 +12,14 @@
 func (d *Director) initAdmission() {
 	settings := &d.cfg.Admission
 	cfg := limits.Config{
-		MinRetryAfterMs: min(settings.MinRetryMs, d.cfg.Attempts.MaxRetryAfterMs),
+		MinRetryAfterMs: min(settings.MinRetryAfterMs, d.cfg.Attempts.MaxRetryAfterMs),
 		MaxRetryAfterMs: d.cfg.Attempts.MaxRetryAfterMs,
-		RetryMemoryMs:   settings.RememberMs,
-		MaxRefusals:     settings.Wishes,
-		FullLagMs:       settings.LagMs,
-		FullQueue:       settings.Queue,
-		FullMemoryBytes: settings.MemoryBytes,
-		AdmitAll:        settings.PassAll,
+		RetryMemoryMs:   settings.RetryMemoryMs,
+		MaxRefusals:     settings.MaxRefusals,
+		FullLagMs:       settings.FullLagMs,
+		FullQueue:       settings.FullQueue,
+		FullMemoryBytes: settings.FullMemoryBytes,
+		AdmitAll:        settings.AdmitAll,
 		RateKB:          d.cfg.Ladder.RateKB,
 		RungWorth:       d.cfg.Ladder.Worth,
 		PropagationMs:   d.cfg.Fleet.ReportIntervalMs/2 + d.cfg.Fleet.ReportDelayMs,
@@ -39,7 +39,7 @@
 		})
 	}
 	d.admission = limits.New(cfg, d.seed)
-	d.capacity = limits.CapacityEstimator{Cfg: d.cfg.Module()}
+	d.capacity = limits.CapacityEstimator{Config: d.cfg.ModuleConfig()}
 	d.applyLimits()
 	d.memorySamples = []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 }
@@ -60,13 +60,13 @@
 func (d *Director) applyLimits() {
 	l := &d.cfg.Limits
 	for resource, limit := range map[limits.Resource]int{
-		limits.Sessions:    l.Sessions,
-		limits.Connections: l.Connections,
-		limits.Ledger:      l.Entries,
-		limits.Reports:     l.Reports,
-		limits.Outgoing:    l.TotalOutput,
-		limits.Sockets:     l.SocketSessions,
-		limits.Timelines:   l.Timelines,
+		limits.Sessions:       l.Sessions,
+		limits.Connections:    l.Connections,
+		limits.Ledger:         l.LedgerEntries,
+		limits.Reports:        l.Reports,
+		limits.OutputBuffers:  l.TotalOutput,
+		limits.SocketSessions: l.SocketSessions,
+		limits.Timelines:      l.Timelines,
 	} {
 		d.quotas.SetLimit(resource, int64(limit))
 	}
@@ -127,7 +127,7 @@
 	d.nextLoadMeasurement = now + sweepIntervalMs
 	ev := limits.Event{Kind: limits.LoadMeasured, LagMs: d.loop.MaxLag(), Queue: float64(d.maxBatch)}
 	d.maxBatch = 0
-	if d.cfg.Admission.MemoryBytes > 0 {
+	if d.cfg.Admission.FullMemoryBytes > 0 {
 		metrics.Read(d.memorySamples)
 		ev.MemoryBytes = float64(d.memorySamples[0].Value.Uint64())
 	}
@@ -135,7 +135,7 @@
 	d.quotas.SetUsed(limits.Ledger, int64(d.ledger.Entries()))
 	d.quotas.SetUsed(limits.Timelines, d.quality.tracker.Bytes())
 	waitingBytes, largest := d.pendingOutput()
-	for !d.quotas.SetUsed(limits.Outgoing, int64(waitingBytes)) && largest != nil {
+	for !d.quotas.SetUsed(limits.OutputBuffers, int64(waitingBytes)) && largest != nil {
 		largest.Close(loop.ErrSlowReader)
 		waitingBytes, largest = d.pendingOutput()
 	}
--- a/internal/director/agent.go
+++ b/internal/director/agent.go
@@ -16,7 +16,7 @@
 func (a agentCheckHandler) Connected(*loop.Conn) {}
 
 // Drained implements loop.Handler.
-func (a agentCheckHandler) Drained(*loop.Conn) {}
+func (a agentCheckHandler) Flushed(*loop.Conn) {}
 
 // Data discards what the check sends ("agent-send").
 func (a agentCheckHandler) Data(*loop.Conn, []byte) {}
@@ -44,7 +44,7 @@
 	ln, err := d.loop.Listen(d.cfg.Director.Agent, func(c *loop.Conn) loop.Handler {
 		d.stats.AgentChecks++
 		c.Write([]byte(d.agentCheckResponse()))
-		c.CloseWrite()
+		c.CloseGracefully()
 		return agentCheckHandler{d}
 	})
 	if err == nil {
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -85,7 +85,7 @@
 
 // Stats counts events since the start of the director.
 type Stats struct {
-	Asked, Played, Refused, Failed, Denied, Redirected                          uint64
+	Requests, Played, Refused, Failed, Denied, Redirected                       uint64
 	Attempts, LostSessions, LateSuccesses, EndedOrphans, NodeLists, SlowReaders uint64
 	AdmissionRefusals, AgentChecks, ReportsAccepted, ReportsDropped             uint64
 }
@@ -180,7 +180,7 @@
 		d.seed = binary.LittleEndian.Uint64(b[:])
 	}
 	var err error
-	if d.module, err = headmill.New(cfg.Module(), d.seed); err != nil {
+	if d.module, err = headmill.New(cfg.ModuleConfig(), d.seed); err != nil {
 		return nil, err
 	}
 	for i := range cfg.Titles {
@@ -197,14 +197,14 @@
 	d.ledger = idempotency.New(idempotency.Config{
 		Self:           max(cfg.Self(), 0),
 		Directors:      cfg.Director.Directors,
-		MaxEntries:     cfg.Limits.Entries,
+		MaxEntries:     cfg.Limits.LedgerEntries,
 		MaxWaiters:     cfg.Limits.Waiters,
 		UnclaimedTTLMs: cfg.Times.UnclaimedTTLMs,
 		DetachedTTLMs:  cfg.Times.DetachedTTLMs,
 		ClockSkewMs:    cfg.Tokens.SkewMs,
 		RetryAfterMs:   cfg.Attempts.MaxRetryAfterMs,
 		LateAnswerMs:   cfg.Times.LateAnswerMs,
-		StartedMs:      eventLoop.Now(),
+		StartedAtMs:    eventLoop.Now(),
 		FirstStart:     cfg.Director.FirstStart,
 		ShardPaid:      len(cfg.Director.Directors) > 1,
 	})
@@ -334,10 +334,10 @@
 		case shutdown.CloseAllConnections:
 			d.stepModules()
 			for v := range d.viewers {
-				v.conn.CloseWrite()
+				v.conn.CloseGracefully()
 			}
 			for w := range d.webSockets {
-				w.close(ws.GoingAway, "this director is leaving")
+				w.close(ws.CloseGoingAway, "this director is leaving")
 			}
 			go d.tokenPool.Close()
 			if d.Done != nil {
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -27,11 +27,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if manifest.Reps[0].ID != map[string]string{"paid": "r0", "free": "r0", "floor": "r1"}[class] {
-			t.Errorf("%s: lowest representation %s", class, manifest.Reps[0].ID)
+		if manifest.Representations[0].ID != map[string]string{"paid": "r0", "free": "r0", "floor": "r1"}[class] {
+			t.Errorf("%s: lowest representation %s", class, manifest.Representations[0].ID)
 		}
 		for _, url := range []string{manifest.Init(0), manifest.Media(0, 0),
-			manifest.Media(len(manifest.Reps)-1, manifest.Segments()-1)} {
+			manifest.Media(len(manifest.Representations)-1, manifest.Segments()-1)} {
 			resp, err := http.Get(url)
 			if err != nil {
 				t.Fatal(err)
@@ -93,7 +93,7 @@
 	if n := env.setupCount(); n != 0 {
 		t.Fatalf("%d set-ups", n)
 	}
-	if n := env.onLoop(func() int { return int(env.director.Stats().Asked) }); n != 0 {
+	if n := env.onLoop(func() int { return int(env.director.Stats().Requests) }); n != 0 {
 		t.Fatalf("%d of them count as asked", n)
 	}
 	// Rotate the keys: both are accepted, then only the new one.
@@ -106,7 +106,7 @@
 // Requests with the same token while the first is pending join its set-up.
 func TestRetryWhileFirstRequestIsPending(t *testing.T) {
 	env := newTestEnv(t, 1, nil)
-	env.nodes[0].Set(medianode.Faults{AnswerMs: 200})
+	env.nodes[0].SetFaults(medianode.Faults{AnswerDelayMs: 200})
 	raw := env.token("paid", "j")
 	var got []chan reply
 	for range 4 {
@@ -128,7 +128,7 @@
 func TestPaidSessionAfterUnknownOutcome(t *testing.T) {
 	env := newTestEnv(t, 2, nil)
 	for _, node := range env.nodes {
-		node.Set(medianode.Faults{Lost: true})
+		node.SetFaults(medianode.Faults{LoseAnswers: true})
 	}
 	raw := env.token("paid", "j")
 	start := time.Now()
@@ -137,7 +137,7 @@
 		t.Errorf("answered after %v, the viewer has 600 ms", elapsed)
 	}
 	for _, node := range env.nodes {
-		node.Set(medianode.Faults{})
+		node.SetFaults(medianode.Faults{})
 	}
 	for range 5 {
 		env.wantStatus("retry", env.get("paid", raw), 504)
@@ -148,12 +148,12 @@
 	// A repeatable class is attempted again at the other media node.
 	env = newTestEnv(t, 2, nil)
 	for _, node := range env.nodes {
-		node.Set(medianode.Faults{Lost: true})
+		node.SetFaults(medianode.Faults{LoseAnswers: true})
 	}
 	ch := env.getAsync("free", env.token("free", "f"))
 	time.Sleep(50 * time.Millisecond)
 	for _, node := range env.nodes {
-		node.Set(medianode.Faults{})
+		node.SetFaults(medianode.Faults{})
 	}
 	env.wantStatus("free", <-ch, 200)
 }
@@ -161,7 +161,7 @@
 // A media node answers after the time-out: the session plays, and a retry with the same token gets that session.
 func TestLateAnswer(t *testing.T) {
 	env := newTestEnv(t, 1, nil)
-	env.nodes[0].Set(medianode.Faults{AnswerMs: 900})
+	env.nodes[0].SetFaults(medianode.Faults{AnswerDelayMs: 900})
 	raw := env.token("paid", "j")
 	env.wantStatus("first", env.get("paid", raw), 504)
 	env.waitUntil("the late answer is counted",
@@ -181,11 +181,11 @@
 	}
 	// The next one has no retry: it is ended at the media node after times.hold_ms. (The module sends a paid session
 	// to a media node that failed only after another session has played there.)
-	env.nodes[0].Set(medianode.Faults{})
+	env.nodes[0].SetFaults(medianode.Faults{})
 	env.waitUntil("the media node gets set-ups again", func() bool {
 		return env.get("free", env.token("free", "f")).status == 200
 	})
-	env.nodes[0].Set(medianode.Faults{AnswerMs: 900})
+	env.nodes[0].SetFaults(medianode.Faults{AnswerDelayMs: 900})
 	env.wantStatus("other", env.get("paid", env.token("paid", "k")), 504)
 	env.waitUntil("the media node runs three", func() bool { n, _ := env.nodes[0].Counts(); return n == 3 })
 	env.waitUntil("one is ended", func() bool { n, _ := env.nodes[0].Counts(); return n == 2 })
@@ -228,7 +228,7 @@
 // A full media node states that nothing ran: a paid session is attempted at the other one, and refused if both are
 // full.
 func TestFullNodeProvesNothingRan(t *testing.T) {
-	env := newTestEnv(t, 2, func(_ *config.Settings, nodeCfg *medianode.Config) { nodeCfg.Places = 0 })
+	env := newTestEnv(t, 2, func(_ *config.Settings, nodeCfg *medianode.Config) { nodeCfg.MaxSessions = 0 })
 	raw := env.token("paid", "j")
 	got := env.wantStatus("both full", env.get("paid", raw), 503)
 	if got.header.Get("Retry-After") == "" || !strings.Contains(got.body, `"retry_after_ms":`) {
@@ -328,7 +328,7 @@
 // session is ended at the media node.
 func TestViewerDisconnects(t *testing.T) {
 	env := newTestEnv(t, 1, nil)
-	env.nodes[0].Set(medianode.Faults{AnswerMs: 200})
+	env.nodes[0].SetFaults(medianode.Faults{AnswerDelayMs: 200})
 	raw := env.token("paid", "j")
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan reply, 1)
@@ -344,7 +344,7 @@
 	if n := env.setupCount(); n != 1 {
 		t.Fatalf("%d set-ups", n)
 	}
-	env.nodes[0].Set(medianode.Faults{})
+	env.nodes[0].SetFaults(medianode.Faults{})
 	// Disconnect at other points: before a request, in the middle of one, and after one.
 	for _, text := range []string{"", "GET /dash/free-ti", "GET /dash/free-title/manifest.mpd?token=" + env.token("free", "f") +
 		" HTTP/1.1\r\nHost: x\r\n\r\n"} {
@@ -561,7 +561,7 @@
 			busyNode = i
 		}
 	}
-	env.nodes[busyNode].Set(medianode.Faults{AnswerMs: 150})
+	env.nodes[busyNode].SetFaults(medianode.Faults{AnswerDelayMs: 150})
 	var out []chan reply
 	for i := range 10 {
 		out = append(out, env.getAsync("free", env.token("free", fmt.Sprint("b", i))))
@@ -620,7 +620,7 @@
 func TestStop(t *testing.T) {
 	env := newTestEnv(t, 1, nil)
 	env.wantStatus("plays", env.get("free", env.token("free", "a")), 200)
-	env.nodes[0].Set(medianode.Faults{AnswerMs: 200})
+	env.nodes[0].SetFaults(medianode.Faults{AnswerDelayMs: 200})
 	idleConn, err := net.Dial("tcp4", env.director.Addr())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -18,7 +18,7 @@
 	director       *Director
 	conn           *loop.Conn
 	parser         *http1.Parser
-	events         http1.Events
+	events         http1.EventParser
 	lastReceivedAt float64
 	retryTimer     *loop.Timer
 	failures       int
@@ -31,9 +31,9 @@
 		return
 	}
 	c.parser = http1.NewResponses(http1.Limits{})
-	c.events = http1.Events{Max: c.director.cfg.Limits.EventBytes}
+	c.events = http1.EventParser{Max: c.director.cfg.Limits.EventBytes}
 	c.lastReceivedAt = c.director.loop.Now()
-	conn, err := c.director.loop.Dial(c.director.cfg.List.Addr, c)
+	conn, err := c.director.loop.Dial(c.director.cfg.Discovery.Addr, c)
 	if err != nil {
 		c.connectionFailed("connect", err)
 		return
@@ -46,7 +46,7 @@
 	if c.conn != nil || c.retryTimer != nil || c.director.stopRequested {
 		return
 	}
-	c.retryTimer = c.director.loop.After(c.director.cfg.List.RetryMs, c.connect)
+	c.retryTimer = c.director.loop.After(c.director.cfg.Discovery.RetryMs, c.connect)
 }
 
 // connectionFailed logs a failure, sparsely when it repeats, and reports to the module that the list is unavailable.
@@ -62,13 +62,13 @@
 // Connected sends the request for the list.
 func (c *discoveryClient) Connected(*loop.Conn) {
 	cfg := c.director.cfg
-	req := http1.AppendRequest(nil, "GET", cfg.List.Path+"?director="+url.QueryEscape(cfg.Director.Name),
-		cfg.List.Addr)
+	req := http1.AppendRequest(nil, "GET", cfg.Discovery.Path+"?director="+url.QueryEscape(cfg.Director.Name),
+		cfg.Discovery.Addr)
 	c.conn.Write(append(req, "Accept: text/event-stream\r\n\r\n"...))
 }
 
 // Drained implements loop.Handler.
-func (c *discoveryClient) Drained(*loop.Conn) {}
+func (c *discoveryClient) Flushed(*loop.Conn) {}
 
 // Data parses messages of the stream.
 func (c *discoveryClient) Data(conn *loop.Conn, b []byte) {
@@ -96,7 +96,7 @@
 // closeIfSilent closes a stream without input for list.silent_ms. The service sends periodic comments as a
 // keep-alive.
 func (c *discoveryClient) closeIfSilent() {
-	if c.conn != nil && c.director.loop.Now()-c.lastReceivedAt > c.director.cfg.List.SilentMs {
+	if c.conn != nil && c.director.loop.Now()-c.lastReceivedAt > c.director.cfg.Discovery.StreamTimeoutMs {
 		c.conn.Close(loop.ErrClosedByOwner)
 		c.lastReceivedAt = c.director.loop.Now()
 	}
@@ -152,7 +152,7 @@
 		d.queueModuleEvent(ev)
 		d.admission.Step(d.loop.Now(), []limits.Event{{
 			Kind:     limits.CapacityChanged,
-			Capacity: d.capacity.Rooms(d.nodeList.Nodes()),
+			Capacity: d.capacity.Estimate(d.nodeList.Nodes()),
 		}}, nil)
 	case discovery.Gap: // a new stream begins with the full list
 		d.log.Warn("gap in node list versions; requesting the full list",
--- a/internal/director/http.go
+++ b/internal/director/http.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	v := &viewerConn{director: d, conn: conn, deadline: d.loop.Now() + d.cfg.Times.IdleMs}
-	conn.SetLimit(d.cfg.Limits.Output)
+	conn.SetOutputLimit(d.cfg.Limits.Output)
 	d.viewers[v] = struct{}{}
 	return v
 }
@@ -57,7 +57,7 @@
 func (v *viewerConn) Connected(*loop.Conn) {}
 
 // Drained replaces the write deadline with the idle deadline once a slow reader has read everything.
-func (v *viewerConn) Drained(*loop.Conn) {
+func (v *viewerConn) Flushed(*loop.Conn) {
 	if v.state == viewerIdle {
 		v.deadline = v.director.loop.Now() + v.director.cfg.Times.IdleMs
 	}
@@ -97,7 +97,7 @@
 	}
 	if v.state >= viewerCheckingToken {
 		v.pipelined = append(v.pipelined, b...)
-		v.conn.Pause(true)
+		v.conn.SetReadPaused(true)
 		return
 	}
 	v.parse(b)
@@ -141,7 +141,7 @@
 		if v.state >= viewerCheckingToken {
 			if len(b) > 0 {
 				v.pipelined = append(v.pipelined[:0], b...)
-				v.conn.Pause(true)
+				v.conn.SetReadPaused(true)
 			}
 			return
 		}
@@ -281,7 +281,7 @@
 	d := v.director
 	v.state, v.deadline = viewerCheckingToken, 0
 	synchronous := true
-	if !d.tokenChecker.Begin(d.tokenPool, raw, func(c *token.Claims, err error) {
+	if !d.tokenChecker.VerifyAsync(d.tokenPool, raw, func(c *token.Claims, err error) {
 		if !v.conn.Open() || v.state != viewerCheckingToken { // the viewer disconnected; nothing was started for it
 			return
 		}
@@ -321,7 +321,7 @@
 func (v *viewerConn) drain() {
 	v.keepAlive = false
 	if v.state == viewerIdle {
-		v.conn.CloseWrite()
+		v.conn.CloseGracefully()
 	}
 }
 
--- a/internal/director/nodeconn.go
+++ b/internal/director/nodeconn.go
@@ -65,7 +65,7 @@
 	for count := len(n.idleConns); count > 0; count = len(n.idleConns) {
 		conn := n.idleConns[count-1]
 		n.idleConns = n.idleConns[:count-1]
-		if conn.netConn.Idle() {
+		if conn.netConn.Reusable() {
 			return conn
 		}
 		conn.netConn.Close(loop.ErrClosedByOwner)
@@ -84,10 +84,10 @@
 		return false
 	}
 	nc.netConn = conn
-	conn.SetLimit(maxNodeOutputBytes)
+	conn.SetOutputLimit(maxNodeOutputBytes)
 	n.connCount++
 	nc.connectTimer = n.director.loop.After(n.director.cfg.Times.ConnectMs,
-		func() { conn.Close(loop.ErrConnectTimeout) })
+		func() { conn.Close(loop.ErrConnectFailed) })
 	return true
 }
 
@@ -123,7 +123,7 @@
 }
 
 // Drained informs the user that its request was written.
-func (c *nodeConn) Drained(*loop.Conn) {
+func (c *nodeConn) Flushed(*loop.Conn) {
 	if c.user != nil {
 		c.user.bytesWritten(c)
 	}
--- a/internal/director/nodestream.go
+++ b/internal/director/nodestream.go
@@ -17,7 +17,7 @@
 	node   *mediaNode
 	conn   *loop.Conn
 	parser *http1.Parser
-	events http1.Events
+	events http1.EventParser
 	closed bool // closed at the request of decide/health, or replaced
 }
 
@@ -57,7 +57,7 @@
 }
 
 // Drained implements loop.Handler.
-func (e *nodeEventStream) Drained(*loop.Conn) {}
+func (e *nodeEventStream) Flushed(*loop.Conn) {}
 
 // Data parses events of the stream.
 func (e *nodeEventStream) Data(_ *loop.Conn, b []byte) {
@@ -133,7 +133,7 @@
 	s := d.sessions[id]
 	if eventKind == "ended" {
 		if ours && s != nil && s.node == node.id && s.state == sessionPlaying {
-			d.endSession(s, headmill.Served, orca.Parse(m.Load), m.Reason)
+			d.endSession(s, headmill.OutcomeServed, orca.Parse(m.Load), m.Reason)
 		}
 		return
 	}
@@ -148,11 +148,11 @@
 		}
 	}
 	d.queueModuleEvent(headmill.Event{
-		Kind:     headmill.EvFeedback,
-		Session:  headmill.SessionID(id),
-		Node:     node.id,
-		Feedback: feedback,
-		Value:    m.Value,
+		Kind:          headmill.EvFeedback,
+		Session:       headmill.SessionID(id),
+		Node:          node.id,
+		Feedback:      feedback,
+		FeedbackValue: m.Value,
 	})
 }
 
--- a/internal/director/observability_test.go
+++ b/internal/director/observability_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	lines, err := trace.Tell(f, "traced")
+	lines, err := trace.ReadSession(f, "traced")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 // sessions post sixteen reports at a time.
 func BenchmarkReportsPosted(b *testing.B) {
 	env := newTestEnv(b, 1, func(s *config.Settings, nodeCfg *medianode.Config) {
-		s.Times.ReportMs, nodeCfg.Places, nodeCfg.LinkKB = 1, 1000, 1e6
+		s.Times.ReportMs, nodeCfg.MaxSessions, nodeCfg.LinkKB = 1, 1000, 1e6
 	})
 	var conns []*bufio.ReadWriter
 	var heads []string
--- a/internal/director/operator.go
+++ b/internal/director/operator.go
@@ -73,7 +73,7 @@
 			Reports:     map[string]uint64{},
 			BadKeys:     map[string]uint64{},
 			Sessions:    int64(d.quality.tracker.Sessions()),
-			TooLateByMs: d.quality.tracker.LateBy(),
+			TooLateByMs: d.quality.tracker.MaxLatenessMs(),
 		}
 		for key, group := range d.quality.tracker.Recent(dim, from, d.quality.closedWindows) {
 			start, share := group.Encode()
@@ -82,9 +82,9 @@
 				Reports:  group.Reports,
 				Starts:   group.Starts,
 				StallMs:  group.StallMs,
-				Stalled:  group.Stalled,
-				Score:    group.Score,
-				Lost:     group.Lost,
+				Stalled:  group.StalledReports,
+				Score:    group.QualitySum,
+				Lost:     group.QualityLost,
 				Switches: group.Switches,
 				StartUp:  start,
 				Share:    share,
--- a/internal/director/quality.go
+++ b/internal/director/quality.go
@@ -44,19 +44,19 @@
 		badKeys:    map[string]uint64{},
 		tracker: quality.New(quality.Config{
 			WindowMs:           settings.WindowMs,
-			AllowedLatenessMs:  settings.LateMs,
-			MaxClockSkewMs:     settings.SkewMs,
-			SessionRetentionMs: settings.KeepMs,
+			AllowedLatenessMs:  settings.AllowedLatenessMs,
+			MaxClockSkewMs:     settings.MaxClockSkewMs,
+			SessionRetentionMs: settings.SessionRetentionMs,
 			MaxSpans:           64,
 			DedupWindow:        64,
-			MaxGroups:          settings.Groups,
+			MaxGroups:          settings.MaxGroups,
 			MaxBytes:           int64(d.cfg.Limits.Timelines),
-			RungWorth:          d.cfg.Ladder.Worth,
+			RungQuality:        d.cfg.Ladder.Worth,
 			SwitchCost:         settings.SwitchCost,
 			StallCost:          settings.StallCost,
-			StartupCost:        settings.StartCost,
-			ShortfallBelow:     settings.ShortUnder,
-			DetectIntervalMs:   settings.LookMs,
+			StartupCost:        settings.StartupCost,
+			ShortfallBelow:     settings.ShortfallBelow,
+			DetectIntervalMs:   settings.DetectIntervalMs,
 			ConfirmMs:          settings.ConfirmMs,
 			MinSessions:        settings.MinSessions,
 			MinScore:           settings.MinScore,
@@ -68,7 +68,7 @@
 func (d *Director) groupID(dim quality.Dimension, name string) uint64 {
 	id := xxhash.Sum64String(name)
 	k := quality.GroupKey{Dim: dim, ID: id}
-	if _, ok := d.quality.groupNames[k]; !ok && len(d.quality.groupNames) < 8*d.cfg.Quality.Groups {
+	if _, ok := d.quality.groupNames[k]; !ok && len(d.quality.groupNames) < 8*d.cfg.Quality.MaxGroups {
 		d.quality.groupNames[k] = name
 	}
 	return id
@@ -125,21 +125,21 @@
 func (d *Director) recordReport(s *session, text string, node headmill.NodeID, ageMs float64) {
 	r := cmcd.Parse(text)
 	d.quality.unknownKeys += uint64(len(r.Unknown))
-	for _, k := range r.Bad {
+	for _, k := range r.Invalid {
 		if _, ok := d.quality.badKeys[k]; ok || len(d.quality.badKeys) < maxBadKeys {
 			d.quality.badKeys[k]++
 		}
 	}
 	ev := quality.PlayerReport{
-		At:          r.At,
+		At:          r.TimestampMs,
 		ArrivedAt:   d.loop.Now() - math.Max(ageMs, 0),
-		Sequence:    r.Number,
+		Sequence:    r.SequenceNumber,
 		ReceivedKB:  r.Throughput / 8,
 		BufferEmpty: r.Starved,
 		Rung:        -1,
 	}
-	if r.Starve > 0 {
-		ev.StallMs = r.Starve
+	if r.StallMs > 0 {
+		ev.StallMs = r.StallMs
 	}
 	if r.Bitrate > 0 {
 		ev.Rung, ev.RequiredKB = d.nearestRung(s, r.Bitrate), r.Bitrate/8
@@ -155,7 +155,7 @@
 				attrs = append(attrs, attribute.Float64(name, v))
 			}
 		}
-		s.trace.Note("report", attrs...)
+		s.trace.AddEvent("report", attrs...)
 	}
 	if node != 0 {
 		ev.Node = d.groupID(quality.ByNode, d.nodeList.Addr(node))
@@ -186,7 +186,7 @@
 		}
 		if p := d.qualityPlace(s); f.Dim == quality.ByRack && p.Rack == f.ID ||
 			f.Dim == quality.ByNode && p.Node == f.ID {
-			s.trace.Note("finding", attribute.String(f.Dim.String(), d.quality.groupNames[f.GroupKey]),
+			s.trace.AddEvent("finding", attribute.String(f.Dim.String(), d.quality.groupNames[f.GroupKey]),
 				attribute.Bool("over", f.Ended), attribute.Float64("load", f.Load))
 		}
 	}
@@ -202,12 +202,12 @@
 	if d.History == nil {
 		return
 	}
-	from, name := d.unixMs(w.From), d.cfg.Director.Name
+	from, name := d.unixMs(w.StartAt), d.cfg.Director.Name
 	to := from + int64(d.cfg.Quality.WindowMs)
 	rows := make([]history.Row, 0, len(w.Groups)+1)
-	rows = append(rows, history.Of(from, to, name, "whole", "", &w.Total))
+	rows = append(rows, history.NewRow(from, to, name, "whole", "", &w.Total))
 	for k, g := range w.Groups {
-		rows = append(rows, history.Of(from, to, name, k.Dim.String(), d.quality.groupNames[k], g))
+		rows = append(rows, history.NewRow(from, to, name, k.Dim.String(), d.quality.groupNames[k], g))
 	}
 	d.History.Put(rows)
 }
@@ -277,7 +277,7 @@
 	}
 	d.quality.lastFeedbackAt = now
 	for _, f := range d.quality.tracker.Findings() {
-		if now-f.At > 2*d.cfg.Quality.LookMs { // stale: nothing new supports it
+		if now-f.At > 2*d.cfg.Quality.DetectIntervalMs { // stale: nothing new supports it
 			continue
 		}
 		feedback := headmill.FeedbackLinkLoad
@@ -293,11 +293,11 @@
 				continue
 			}
 			d.queueModuleEvent(headmill.Event{
-				Kind:     headmill.EvFeedback,
-				Session:  headmill.SessionID(s.id),
-				Node:     s.node,
-				Feedback: feedback,
-				Value:    f.Load,
+				Kind:          headmill.EvFeedback,
+				Session:       headmill.SessionID(s.id),
+				Node:          s.node,
+				Feedback:      feedback,
+				FeedbackValue: f.Load,
 			})
 			break
 		}
--- a/internal/director/request.go
+++ b/internal/director/request.go
@@ -60,7 +60,7 @@
 // validateRequest checks that verified claims are in force and match the catalogue. name is the requested title; if
 // empty, the token's title is used.
 func (d *Director) validateRequest(name string, c *token.Claims) (*title, *requestError) {
-	if err := d.tokenChecker.Valid(c, d.wallClock()); err != nil {
+	if err := d.tokenChecker.CheckTimes(c, d.wallClock()); err != nil {
 		return nil, unauthorized(err)
 	}
 	if name == "" {
@@ -102,7 +102,7 @@
 		tenantIndex:  d.admission.TenantIndex(c.Tenant),
 	}
 	d.requests[req.id] = req
-	d.stats.Asked++
+	d.stats.Requests++
 	ev := idempotency.Event{
 		Kind:            idempotency.RequestArrived,
 		Request:         req.id,
--- a/internal/director/response.go
+++ b/internal/director/response.go
@@ -30,7 +30,7 @@
 // responseHead begins a response with the fields common to all: it may not be stored, and pages of any origin may
 // read it.
 func (v *viewerConn) responseHead(status int) []byte {
-	b := http1.AppendStatus(v.director.writeBuffer[:0], status)
+	b := http1.AppendStatusLine(v.director.writeBuffer[:0], status)
 	b = append(b, "Access-Control-Allow-Origin: *\r\nCache-Control: no-store\r\n"...)
 	if !v.keepAlive {
 		b = append(b, "Connection: close\r\n"...)
@@ -48,7 +48,7 @@
 	if !v.keepAlive {
 		v.closing = true
 		v.deadline = d.loop.Now() + d.cfg.Times.WriteMs
-		v.conn.CloseWrite()
+		v.conn.CloseGracefully()
 		return
 	}
 	v.deadline = d.loop.Now() + d.cfg.Times.IdleMs
@@ -59,7 +59,7 @@
 
 // resume parses the requests that were pipelined behind the answered one.
 func (v *viewerConn) resume() {
-	v.conn.Pause(false)
+	v.conn.SetReadPaused(false)
 	if rest := v.pipelined; len(rest) > 0 && !v.closing {
 		v.pipelined = nil
 		v.parse(rest)
--- a/internal/director/session.go
+++ b/internal/director/session.go
@@ -41,10 +41,10 @@
 	deadline      float64
 	playingSince  float64
 	lastOutcome   attempt.Outcome
-	webSockets    []*webSocket       // connections attached to it
-	lastReport    string             // the player's last report over WebSocket
-	reportLimiter limits.RateLimiter // limits reports by POST
-	trace         *trace.Story       // nil unless the session is sampled
+	webSockets    []*webSocket        // connections attached to it
+	lastReport    string              // the player's last report over WebSocket
+	reportLimiter limits.RateLimiter  // limits reports by POST
+	trace         *trace.SessionTrace // nil unless the session is sampled
 }
 
 // sessionClaims is the part of a token that a session keeps, with the results of admission control.
@@ -168,7 +168,7 @@
 		Headroom:       req.claims.headroom,
 	})
 	d.admissionSetupStarted(s)
-	s.trace = d.Trace.Begin(s.claims.jti,
+	s.trace = d.Trace.StartSession(s.claims.jti,
 		attribute.String("title", s.title.Name), attribute.String("class", s.title.Class),
 		attribute.String("brand", s.claims.tenant), attribute.Bool("again", s.claims.retried))
 }
@@ -187,7 +187,7 @@
 			if s.state == sessionPlaying {
 				d.sendRung(s)
 				d.recordRungChange(s)
-				s.trace.Note("rung", attribute.Int("rung", s.rung))
+				s.trace.AddEvent("rung", attribute.Int("rung", s.rung))
 				for _, w := range s.webSockets {
 					w.sendRung(s)
 				}
@@ -218,8 +218,8 @@
 			s.trace.End("failed: " + reason.String())
 		}
 	case headmill.ActTimer:
-		name := a.Timer
-		d.loop.At(a.AtMs, func() { d.queueModuleEvent(headmill.Event{Kind: headmill.EvTimer, Timer: name}) })
+		name := a.TimerID
+		d.loop.At(a.AtMs, func() { d.queueModuleEvent(headmill.Event{Kind: headmill.EvTimer, TimerID: name}) })
 	case headmill.ActSubscribe:
 		d.discovery.scheduleConnect()
 	case headmill.ActLog:
@@ -242,7 +242,7 @@
 		if s := d.sessions[idempotency.SessionID(a.Session)]; s != nil &&
 			s.state == sessionPlaying && s.node == node.id {
 			d.stats.LostSessions++
-			d.endSession(s, headmill.Reset, orca.Load{}, "lost")
+			d.endSession(s, headmill.OutcomeReset, orca.Load{}, "lost")
 		}
 	case health.EndOrphan:
 		if s := d.sessions[idempotency.SessionID(a.Session)]; s == nil ||
@@ -255,8 +255,8 @@
 }
 
 // moduleReport converts a load report for the module.
-func moduleReport(l orca.Load) headmill.Report {
-	return headmill.Report{Present: l.Present, Streams: l.Streams, Link: l.X0, Uplink: l.X1}
+func moduleReport(l orca.Load) headmill.LoadReport {
+	return headmill.LoadReport{Present: l.Present, Streams: l.Streams, LinkLoad: l.LinkLoad, UplinkLoad: l.UplinkLoad}
 }
 
 // endSession ends a playing session: the media node reported its end, the node was lost, or this director ends it.
@@ -274,7 +274,7 @@
 		Outcome:     outcome,
 		SessionOver: true,
 		LatencyMs:   d.loop.Now() - s.requestedAt,
-		Report:      moduleReport(load),
+		LoadReport:  moduleReport(load),
 	})
 	d.healthEvents = append(d.healthEvents, health.Event{
 		Kind:    health.SessionEnded,
@@ -304,7 +304,7 @@
 			})
 		}
 	}
-	d.endSession(s, headmill.Cancelled, orca.Load{}, "ended here")
+	d.endSession(s, headmill.OutcomeCancelled, orca.Load{}, "ended here")
 }
 
 // adoptSession hands a session over to the module that plays although its attempt had been given up.
@@ -326,11 +326,11 @@
 		DurationHintMs: s.title.DurationMs,
 	})
 	d.queueModuleEvent(headmill.Event{
-		Kind:     headmill.EvFeedback,
-		Session:  id,
-		Node:     s.node,
-		Feedback: headmill.FeedbackRung,
-		Value:    float64(s.sentRung),
+		Kind:          headmill.EvFeedback,
+		Session:       id,
+		Node:          s.node,
+		Feedback:      headmill.FeedbackRung,
+		FeedbackValue: float64(s.sentRung),
 	})
 	s.rung = s.sentRung
 	d.recordSessionStart(s, quality.SessionAdopted)
@@ -375,7 +375,7 @@
 func (d *Director) appendManifest(b []byte, s *session, raw string) []byte {
 	class := &d.cfg.Classes[s.title.class]
 	m := dash.Manifest{
-		Base:       s.mediaURL,
+		BaseURL:    s.mediaURL,
 		Token:      raw,
 		DurationMs: s.title.DurationMs,
 		SegmentMs:  d.cfg.Ladder.SegmentMs,
@@ -385,7 +385,7 @@
 		if len(d.cfg.Ladder.Width) > 0 {
 			rep.Width = d.cfg.Ladder.Width[rung]
 		}
-		m.Reps = append(m.Reps, rep)
+		m.Representations = append(m.Representations, rep)
 	}
 	return m.Append(b)
 }
--- a/internal/director/setup.go
+++ b/internal/director/setup.go
@@ -38,12 +38,12 @@
 
 // moduleOutcomes has the module's outcome for each outcome of an attempt except success.
 var moduleOutcomes = map[attempt.Outcome]headmill.Outcome{
-	attempt.OutcomeFull:          headmill.Full,
-	attempt.OutcomeConnectFailed: headmill.ConnectFailed,
-	attempt.OutcomeError:         headmill.Failed,
-	attempt.OutcomeReset:         headmill.Reset,
-	attempt.OutcomeTimedOut:      headmill.TimedOut,
-	attempt.OutcomeCancelled:     headmill.Cancelled,
+	attempt.OutcomeFull:      headmill.OutcomeFull,
+	attempt.OutcomeNeverSent: headmill.OutcomeConnectFailed,
+	attempt.OutcomeError:     headmill.OutcomeFailed,
+	attempt.OutcomeReset:     headmill.OutcomeReset,
+	attempt.OutcomeTimedOut:  headmill.OutcomeTimedOut,
+	attempt.OutcomeCancelled: headmill.OutcomeCancelled,
 }
 
 // startAttempt starts the attempt that the module asked for. allowedMs is its time limit; 0 means until the session's
@@ -58,7 +58,7 @@
 	s.setup, s.node, s.mediaURL, s.sentRung = a, node, "", s.rung
 	s.attempts++
 	d.stats.Attempts++
-	s.trace.Attempt(attribute.String("box", a.node.addr), attribute.Int("rung", a.rung),
+	s.trace.StartAttempt(attribute.String("box", a.node.addr), attribute.Int("rung", a.rung),
 		attribute.Int("number", s.attempts), attribute.Float64("allow_ms", roundMs(allowedMs)))
 	d.healthEvents = append(d.healthEvents, health.Event{
 		Kind:    health.SetupSent,
@@ -200,33 +200,33 @@
 	d.loop.Cancel(a.timer)
 	now := d.loop.Now()
 	s.lastOutcome = outcome
-	s.trace.Settle(outcome.String(), outcome == attempt.OutcomePlaying)
+	s.trace.EndAttempt(outcome.String(), outcome == attempt.OutcomePlaying)
 	id, tookMs := headmill.SessionID(s.id), now-a.startedAt
 	if outcome == attempt.OutcomePlaying {
 		s.state, s.playingSince, s.mediaURL, s.setup = sessionPlaying, now, a.mediaURL, nil
-		s.trace.Play(attribute.String("box", a.node.addr), attribute.Int("rung", a.rung))
+		s.trace.StartPlayback(attribute.String("box", a.node.addr), attribute.Int("rung", a.rung))
 		d.queueModuleEvent(headmill.Event{
 			Kind:      headmill.EvAttemptPlaying,
 			Session:   id,
 			Node:      a.node.id,
 			LatencyMs: tookMs,
 		})
-		if a.loadReport.X0 >= 0 {
+		if a.loadReport.LinkLoad >= 0 {
 			d.queueModuleEvent(headmill.Event{
-				Kind:     headmill.EvFeedback,
-				Session:  id,
-				Node:     a.node.id,
-				Feedback: headmill.FeedbackLinkLoad,
-				Value:    a.loadReport.X0,
+				Kind:          headmill.EvFeedback,
+				Session:       id,
+				Node:          a.node.id,
+				Feedback:      headmill.FeedbackLinkLoad,
+				FeedbackValue: a.loadReport.LinkLoad,
 			})
 		}
-		if a.loadReport.X1 >= 0 {
+		if a.loadReport.UplinkLoad >= 0 {
 			d.queueModuleEvent(headmill.Event{
-				Kind:     headmill.EvFeedback,
-				Session:  id,
-				Node:     a.node.id,
-				Feedback: headmill.FeedbackUplinkLoad,
-				Value:    a.loadReport.X1,
+				Kind:          headmill.EvFeedback,
+				Session:       id,
+				Node:          a.node.id,
+				Feedback:      headmill.FeedbackUplinkLoad,
+				FeedbackValue: a.loadReport.UplinkLoad,
 			})
 		}
 		d.healthEvents = append(d.healthEvents, health.Event{
@@ -250,12 +250,12 @@
 		a.reportSetupEnded()
 	}
 	d.queueModuleEvent(headmill.Event{
-		Kind:      headmill.EvAttemptEnded,
-		Session:   id,
-		Node:      a.node.id,
-		Outcome:   moduleOutcomes[outcome],
-		LatencyMs: tookMs,
-		Report:    moduleReport(a.loadReport),
+		Kind:       headmill.EvAttemptEnded,
+		Session:    id,
+		Node:       a.node.id,
+		Outcome:    moduleOutcomes[outcome],
+		LatencyMs:  tookMs,
+		LoadReport: moduleReport(a.loadReport),
 	})
 }
 
--- a/internal/director/testenv_test.go
+++ b/internal/director/testenv_test.go
@@ -63,7 +63,7 @@
 func testSettings(listAddr string) config.Settings {
 	s := config.Default()
 	s.Director.Name, s.Director.FirstStart, s.Director.Seed = "d0", true, 1
-	s.List.Addr, s.List.RetryMs = listAddr, 50
+	s.Discovery.Addr, s.Discovery.RetryMs = listAddr, 50
 	s.Tokens.Keys = "keys.json"
 	s.Ladder = config.Ladder{RateKB: []float64{10, 20}, Worth: []float64{0.5, 1}, SegmentMs: 500}
 	s.Classes = []config.Class{
@@ -118,26 +118,26 @@
 	}
 	e.keySet = token.FormatKeys([]token.Key{e.signingKey}, false)
 	var err error
-	if e.discovery, err = discovery.Start(discovery.Config{Addr: "127.0.0.1:0", SilentMs: 1500}); err != nil {
+	if e.discovery, err = discovery.Start(discovery.Config{Addr: "127.0.0.1:0", HeartbeatTimeoutMs: 1500}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(e.discovery.Close)
 	s := testSettings(e.discovery.Addr())
 	e.nodeConfig = medianode.Config{
-		Addr:      "127.0.0.1:0",
-		RateKB:    s.Ladder.RateKB,
-		Scale:     map[string]float64{},
-		LinkKB:    1e6,
-		UplinkKB:  1e6,
-		Places:    1000,
-		Cores:     100,
-		WorkMs:    1,
-		SegmentMs: 500,
-		OrphanMs:  1000,
-		TellMs:    500,
-		LateMs:    100,
-		ListAddr:  e.discovery.Addr(),
-		Keys:      e.keySet,
+		Addr:                 "127.0.0.1:0",
+		RateKB:               s.Ladder.RateKB,
+		ClassScale:           map[string]float64{},
+		LinkKB:               1e6,
+		UplinkKB:             1e6,
+		MaxSessions:          1000,
+		Cores:                100,
+		SetupWorkMs:          1,
+		SegmentMs:            500,
+		OrphanTimeoutMs:      1000,
+		LoadReportIntervalMs: 500,
+		LoadReportDelayMs:    100,
+		DiscoveryAddr:        e.discovery.Addr(),
+		Keys:                 e.keySet,
 	}
 	if edit != nil {
 		edit(&s, &e.nodeConfig)
@@ -219,7 +219,7 @@
 
 func (e *testEnv) tokenFor(class, jti string, valid time.Duration) string {
 	now := time.Now()
-	raw, err := e.signingKey.Mint(token.Claims{
+	raw, err := e.signingKey.Sign(token.Claims{
 		Title:   class + "-title",
 		Class:   class,
 		MaxRung: 1,
--- a/internal/director/websocket.go
+++ b/internal/director/websocket.go
@@ -52,8 +52,8 @@
 	case method != "GET":
 		v.methodNotAllowed()
 		return
-	case msg.Minor < 1 || !http1.HasWord(msg.Get("upgrade"), "websocket") ||
-		!http1.HasWord(msg.Get("connection"), "upgrade") || !ok:
+	case msg.Minor < 1 || !http1.ListContains(msg.Get("upgrade"), "websocket") ||
+		!http1.ListContains(msg.Get("connection"), "upgrade") || !ok:
 		v.writeProblem(400, "no-upgrade", "the session API is a WebSocket: see RFC 6455 section 4.1", 0)
 		return
 	case string(msg.Get("sec-websocket-version")) != "13":
@@ -84,7 +84,7 @@
 	}
 	v.checkToken(raw, func(c *token.Claims) {
 		d := v.director
-		if err := d.tokenChecker.Valid(c, d.wallClock()); err != nil {
+		if err := d.tokenChecker.CheckTimes(c, d.wallClock()); err != nil {
 			v.reject(unauthorized(err))
 			return
 		}
@@ -103,13 +103,13 @@
 		rest := v.pipelined
 		v.pipelined, v.state, v.webSocket = nil, viewerAwaitingResult, w // the viewerConn is not used after this
 		w.conn.SetHandler(w)
-		b := http1.AppendStatus(d.writeBuffer[:0], 101)
+		b := http1.AppendStatusLine(d.writeBuffer[:0], 101)
 		b = append(b, "Upgrade: websocket\r\nConnection: Upgrade\r\n"...)
 		b = http1.AppendField(b, "Sec-WebSocket-Accept", accept)
 		b = append(http1.AppendField(b, "Sec-WebSocket-Protocol", subprotocol), "\r\n"...)
 		d.writeBuffer = b[:0]
 		w.conn.Write(b)
-		w.conn.Pause(false)
+		w.conn.SetReadPaused(false)
 		if len(rest) > 0 {
 			w.Data(w.conn, rest)
 		}
@@ -120,7 +120,7 @@
 func (w *webSocket) Connected(*loop.Conn) {}
 
 // Drained implements loop.Handler.
-func (w *webSocket) Drained(*loop.Conn) {}
+func (w *webSocket) Flushed(*loop.Conn) {}
 
 // Data parses frames.
 func (w *webSocket) Data(_ *loop.Conn, b []byte) {
@@ -128,7 +128,7 @@
 	if err := w.reader.Feed(b, w.handleMessage); err != nil {
 		var wsErr *ws.Error
 		if errors.As(err, &wsErr) {
-			w.close(wsErr.Code, wsErr.Why)
+			w.close(wsErr.Code, wsErr.Reason)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 
 // detach removes the connection from a session.
 func (w *webSocket) detach(s *session) {
-	w.director.quotas.Release(limits.Sockets, 1)
+	w.director.quotas.Release(limits.SocketSessions, 1)
 	for i, attached := range s.webSockets {
 		if attached == w {
 			s.webSockets = append(s.webSockets[:i], s.webSockets[i+1:]...)
@@ -173,7 +173,7 @@
 	w.closeSent = true
 	w.conn.Write(ws.AppendClose(nil, code, reason))
 	w.closeDeadline = w.director.loop.Now() + w.director.cfg.Times.WriteMs
-	w.conn.CloseWrite()
+	w.conn.CloseGracefully()
 }
 
 // handleMessage handles one complete message.
@@ -182,21 +182,21 @@
 		return
 	}
 	switch m.Op {
-	case ws.Ping:
-		w.conn.Write(ws.Append(nil, ws.Pong, m.Payload))
+	case ws.OpPing:
+		w.conn.Write(ws.AppendFrame(nil, ws.OpPong, m.Payload))
 		return
-	case ws.Pong:
+	case ws.OpPong:
 		return
-	case ws.Close:
+	case ws.OpClose:
 		code := m.Code
 		if code != noStatusReceived {
-			code = ws.Normal
+			code = ws.CloseNormal
 		}
 		w.close(code, "")
 		return
 	}
-	if (m.Op == ws.Text) != w.isJSON {
-		w.close(ws.Unsupported, "the subprotocol has the other kind of message")
+	if (m.Op == ws.OpText) != w.isJSON {
+		w.close(ws.CloseUnsupportedData, "the subprotocol has the other kind of message")
 		return
 	}
 	var msg pb.ClientMessage
@@ -207,7 +207,7 @@
 		err = proto.Unmarshal(m.Payload, &msg)
 	}
 	if err != nil {
-		w.close(ws.BadData, "not a ClientMessage of the subprotocol")
+		w.close(ws.CloseInvalidPayload, "not a ClientMessage of the subprotocol")
 		return
 	}
 	switch b := msg.Body.(type) {
@@ -227,14 +227,14 @@
 // send writes a message in the encoding of the subprotocol.
 func (w *webSocket) send(m *pb.ServerMessage) {
 	var b []byte
-	op := ws.Binary
+	op := ws.OpBinary
 	if w.isJSON {
 		b, _ = protojson.Marshal(m) // built here from valid strings: cannot fail
-		op = ws.Text
+		op = ws.OpText
 	} else {
 		b, _ = proto.Marshal(m)
 	}
-	w.conn.Write(ws.Append(w.director.writeBuffer[:0], op, b))
+	w.conn.Write(ws.AppendFrame(w.director.writeBuffer[:0], op, b))
 }
 
 // sendFailed answers a message with Failed.
@@ -268,7 +268,7 @@
 	}
 	d := w.director
 	w.tokenChecks++
-	if !d.tokenChecker.Begin(d.tokenPool, raw, func(c *token.Claims, err error) {
+	if !d.tokenChecker.VerifyAsync(d.tokenPool, raw, func(c *token.Claims, err error) {
 		w.tokenChecks--
 		switch {
 		case !w.conn.Open():
@@ -314,7 +314,7 @@
 			w.reject(id, reqErr)
 			return
 		}
-		if !d.quotas.Fits(limits.Sockets, 1) {
+		if !d.quotas.Fits(limits.SocketSessions, 1) {
 			d.stats.Refused++
 			w.sendRefused(id, "full", "this director is at a limit of its settings; nothing was set up",
 				d.cfg.Attempts.MaxRetryAfterMs)
@@ -422,7 +422,7 @@
 			return
 		}
 	}
-	w.director.quotas.Acquire(limits.Sockets, 1)
+	w.director.quotas.Acquire(limits.SocketSessions, 1)
 	w.sessions = append(w.sessions, s)
 	s.webSockets = append(s.webSockets, w)
 	w.director.ledgerEvents = append(w.director.ledgerEvents, idempotency.Event{
@@ -453,7 +453,7 @@
 			break
 		}
 	}
-	w.director.quotas.Release(limits.Sockets, 1)
+	w.director.quotas.Release(limits.SocketSessions, 1)
 	w.send(&pb.ServerMessage{Body: &pb.ServerMessage_Ended{Ended: &pb.Ended{Jti: s.claims.jti, Why: reason}}})
 }
 
@@ -471,7 +471,7 @@
 			w.conn.Close(loop.ErrClosedByOwner)
 		case silentMs > d.cfg.Times.PingMs && !w.pingSent && !w.closeSent:
 			w.pingSent = true
-			w.conn.Write(ws.Append(nil, ws.Ping, nil))
+			w.conn.Write(ws.AppendFrame(nil, ws.OpPing, nil))
 		}
 	}
 }
--- a/internal/director/websocket_test.go
+++ b/internal/director/websocket_test.go
@@ -179,7 +179,7 @@
 		if resp, err := http.Get(mpd.Media(0, 0)); err != nil || resp.StatusCode != 200 {
 			t.Errorf("segment: %v %v", resp, err)
 		}
-		if a := fetch(context.Background(), m.ManifestUrl); a.status != 200 || mediaURL(a.body) != mpd.Base {
+		if a := fetch(context.Background(), m.ManifestUrl); a.status != 200 || mediaURL(a.body) != mpd.BaseURL {
 			t.Errorf("manifest by its address: %d", a.status)
 		}
 		p.open(8, env.token("paid", "b")) // second session on the same connection
@@ -202,7 +202,7 @@
 		p.send(&pb.ClientMessage{Id: 12, Body: &pb.ClientMessage_End{End: &pb.End{}}})
 		p.waitFor("its end", func(m *pb.ServerMessage) bool { return m.GetEnded().GetJti() == "a" })
 		env.waitUntil("one session plays on", func() bool { n, _ := env.nodes[0].Counts(); return n == 1 })
-		if n := env.onLoop(func() int { return int(env.director.Quotas().Usage(limits.Sockets).Used) }); n != 1 {
+		if n := env.onLoop(func() int { return int(env.director.Quotas().Usage(limits.SocketSessions).Used) }); n != 1 {
 			t.Errorf("%d sessions attached to connections", n)
 		}
 		p.conn.Close(websocket.StatusNormalClosure, "bye")
@@ -219,7 +219,7 @@
 	if m := p.waitPlaying(1); m.Rung != 1 {
 		t.Fatalf("%v", m)
 	}
-	env.nodes[0].Set(medianode.Faults{Slow: 1e6}) // almost no throughput: the module lowers the rungs there
+	env.nodes[0].SetFaults(medianode.Faults{Slowdown: 1e6}) // almost no throughput: the module lowers the rungs there
 	p.waitFor("lower rung", func(m *pb.ServerMessage) bool {
 		return m.GetRung() != nil && m.GetRung().Rung == 0 && m.GetRung().KbitPerS == 80
 	})
@@ -230,7 +230,7 @@
 // The same token over DASH and WebSocket at the same time: one set-up answers both.
 func TestSameTokenOnDASHAndWebSocket(t *testing.T) {
 	env := newTestEnv(t, 1, nil)
-	env.nodes[0].Set(medianode.Faults{AnswerMs: 150})
+	env.nodes[0].SetFaults(medianode.Faults{AnswerDelayMs: 150})
 	raw := env.token("paid", "j")
 	p := env.dialPlayer(raw)
 	p.open(1, "")
@@ -269,7 +269,7 @@
 		t.Errorf("after its end: %v", f)
 	}
 	// The loss of the connection between the request and its answer.
-	env.nodes[0].Set(medianode.Faults{AnswerMs: 200})
+	env.nodes[0].SetFaults(medianode.Faults{AnswerDelayMs: 200})
 	raw = env.token("paid", "k")
 	p.open(2, raw)
 	env.waitUntil("the attempt is sent",
@@ -336,7 +336,7 @@
 	env := newTestEnv(t, 1, func(s *config.Settings, _ *medianode.Config) {
 		s.Limits.PendingPerSocket, s.Limits.SessionsPerSocket, s.Times.ReportMs, s.Limits.Reports = 4, 6, 1000, 64
 	})
-	env.nodes[0].Set(medianode.Faults{AnswerMs: 100})
+	env.nodes[0].SetFaults(medianode.Faults{AnswerDelayMs: 100})
 	p := env.dialPlayer(env.token("free", "own"))
 	const n = 200
 	for i := range n {
@@ -357,7 +357,7 @@
 	if played == 0 || played > 6 || played+refused != n {
 		t.Errorf("%d play, %d refused", played, refused)
 	}
-	env.nodes[0].Set(medianode.Faults{})
+	env.nodes[0].SetFaults(medianode.Faults{})
 	sent := 0
 	for range 100 * played { // a hundred times the agreed reports, together over the limit of bytes
 		p.send(&pb.ClientMessage{Body: &pb.ClientMessage_Report{Report: &pb.Report{
@@ -566,7 +566,7 @@
 		t.Fatal(err)
 	}
 	defer lb.Close()
-	if s := lb.Look(0); !s.Up || s.Weight != 100 {
+	if s := lb.ServerState(0); !s.Up || s.Weight != 100 {
 		t.Fatalf("%+v", s)
 	}
 	n := 0
@@ -599,7 +599,7 @@
 	if got := first.onLoop(func() int { return int(first.director.Stats().Played) }); got != sessions {
 		t.Errorf("%d new sessions after the drain began", got-sessions)
 	}
-	if lb.Look(0).Up {
+	if lb.ServerState(0).Up {
 		t.Error("the balancer has not seen the drain")
 	}
 }
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -51,18 +51,18 @@
 	Share    []byte  `parquet:"share,zstd"`
 }
 
-// Of returns the row of a group in a window.
-func Of(fromMs, toMs int64, director, dim, name string, g *quality.Group) Row {
+// NewRow returns the row of a group in a window.
+func NewRow(fromMs, toMs int64, director, dim, name string, g *quality.Group) Row {
 	startup, share := g.Encode()
 	return Row{FromMs: fromMs, ToMs: toMs, Director: director, Dim: dim, Name: name, Reports: g.Reports, Starts: g.Starts,
-		StallMs: g.StallMs, Stalled: g.Stalled, Score: g.Score, Lost: g.Lost, Switches: g.Switches, StartUp: startup,
+		StallMs: g.StallMs, Stalled: g.StalledReports, Score: g.QualitySum, Lost: g.QualityLost, Switches: g.Switches, StartUp: startup,
 		Share: share}
 }
 
 // Group returns the group that the row was made of.
 func (r *Row) Group() (*quality.Group, error) {
-	g := &quality.Group{Reports: r.Reports, Starts: r.Starts, StallMs: r.StallMs, Stalled: r.Stalled, Score: r.Score,
-		Lost: r.Lost, Switches: r.Switches}
+	g := &quality.Group{Reports: r.Reports, Starts: r.Starts, StallMs: r.StallMs, StalledReports: r.Stalled, QualitySum: r.Score,
+		QualityLost: r.Lost, Switches: r.Switches}
 	return g, g.Decode(r.StartUp, r.Share)
 }
 
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -21,7 +21,7 @@
 func closedWindow(t *testing.T, sessions int, share float64) *quality.Window {
 	t.Helper()
 	tracker := quality.New(quality.Config{WindowMs: 1000, MaxSpans: 4, DedupWindow: 4,
-		RungWorth: []float64{0.5, 1}, StallCost: 1, StartupCost: 0.1})
+		RungQuality: []float64{0.5, 1}, StallCost: 1, StartupCost: 0.1})
 	var events []quality.Event
 	for i := range sessions {
 		id := uint64(i + 1)
@@ -52,8 +52,8 @@
 		key := window.Keys(quality.ByRack)[0]
 		for i := range 3 {
 			from := int64(1e12 + i*1000)
-			w.Put([]Row{Of(from, from+1000, director, "rack", "7", window.Groups[key]),
-				Of(from, from+1000, director, "whole", "", &window.Total)})
+			w.Put([]Row{NewRow(from, from+1000, director, "rack", "7", window.Groups[key]),
+				NewRow(from, from+1000, director, "whole", "", &window.Total)})
 			time.Sleep(50 * time.Millisecond)
 		}
 		w.Close()
@@ -80,9 +80,9 @@
 		}
 		sum.Merge(group)
 	}
-	if len(rows) != 8 || sum.Reports != 40 || math.Abs(sum.Share(0.1)-0.5) > 0.02 ||
-		math.Abs(sum.Share(0.9)-1) > 0.03 {
-		t.Errorf("%d rows, %d reports, shares %v to %v", len(rows), sum.Reports, sum.Share(0.1), sum.Share(0.9))
+	if len(rows) != 8 || sum.Reports != 40 || math.Abs(sum.ShareQuantile(0.1)-0.5) > 0.02 ||
+		math.Abs(sum.ShareQuantile(0.9)-1) > 0.03 {
+		t.Errorf("%d rows, %d reports, shares %v to %v", len(rows), sum.Reports, sum.ShareQuantile(0.1), sum.ShareQuantile(0.9))
 	}
 	if _, _, err := Read(t.TempDir(), 0, 0); err == nil {
 		t.Error("no error for an empty directory")
@@ -106,12 +106,12 @@
 				}
 				group := *window.Groups[window.Keys(quality.ByRack)[0]]
 				if window == degraded {
-					group.Score, group.Lost, group.Stalled, group.StallMs = 1, 4, 3, 1500
+					group.QualitySum, group.QualityLost, group.StalledReports, group.StallMs = 1, 4, 3, 1500
 				}
-				rows = append(rows, Of(from, from+5000, name, "rack", fmt.Sprint(rack), &group))
+				rows = append(rows, NewRow(from, from+5000, name, "rack", fmt.Sprint(rack), &group))
 				total.Merge(&group)
 			}
-			rows = append(rows, Of(from, from+5000, name, "whole", "", total))
+			rows = append(rows, NewRow(from, from+5000, name, "whole", "", total))
 		}
 	}
 	begin := int64(1764590400000 + 101000)
@@ -125,10 +125,10 @@
 		summary.Findings[0].To != float64(begin+58000) {
 		t.Errorf("racks %v, findings %v", summary.Racks, summary.Findings)
 	}
-	if summary.Causes[0].Cause != "rack 13" || math.Abs(summary.Causes[0].Lost-2*12*4) > 4.1*2 {
+	if summary.Causes[0].Cause != "rack 13" || math.Abs(summary.Causes[0].QualityLost-2*12*4) > 4.1*2 {
 		t.Errorf("causes %v", summary.Causes)
 	}
-	if group := summary.GroupsByRack["13"][25]; group == nil || group.Reports != 10 || group.Mean() > 0.3 {
+	if group := summary.GroupsByRack["13"][25]; group == nil || group.Reports != 10 || group.MeanQuality() > 0.3 {
 		t.Errorf("window 25 of rack 13: %+v", group)
 	}
 	for _, name := range []string{"q.svg", "q.png"} {
@@ -162,7 +162,7 @@
 	}
 	group := &quality.Group{Reports: 1}
 	for i, from := range []int64{now - 120000, now - 3000, now - 2000, now - 1000, now} {
-		w.Put([]Row{Of(from, from+1000, "d0", "rack", fmt.Sprint(i), group)})
+		w.Put([]Row{NewRow(from, from+1000, "d0", "rack", fmt.Sprint(i), group)})
 		for written := uint64(0); written < uint64(i+1); written, _ = w.Counts() {
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/history/plot.go
+++ b/internal/history/plot.go
@@ -27,7 +27,7 @@
 	FromMs, ToMs, StepMs int64
 	Racks                []string                            // names, in numerical order
 	GroupsByRack         map[string]map[int64]*quality.Group // by the rack's name and the index of the step
-	Whole                quality.Group                       // total of all windows
+	Total                quality.Group                       // total of all windows
 	Findings             []quality.FindingInterval           // Unix ms
 	Causes               []quality.CauseLoss
 }
@@ -70,7 +70,7 @@
 		step := (row.FromMs - s.FromMs) / s.StepMs
 		switch row.Dim {
 		case "whole":
-			s.Whole.Merge(group)
+			s.Total.Merge(group)
 			totalLoss[float64(step)] += row.Lost
 			continue
 		case "rack":
@@ -84,7 +84,7 @@
 			s.GroupsByRack[row.Name][step].Merge(group)
 		}
 		losses = append(losses, quality.GroupLoss{Dim: row.Dim, Name: row.Name, From: float64(step), To: float64(step + 1),
-			Lost: row.Lost})
+			QualityLost: row.Lost})
 	}
 	slices.SortFunc(s.Racks, func(a, b string) int { // 2 before 10
 		if len(a) != len(b) {
@@ -117,7 +117,7 @@
 func (g rackGrid) Y(row int) float64 { return float64(row) }
 func (g rackGrid) Z(column, row int) float64 {
 	if group := g.summary.GroupsByRack[g.summary.Racks[row]][int64(column)]; group != nil {
-		return group.Mean()
+		return group.MeanQuality()
 	}
 	return math.NaN()
 }
@@ -201,7 +201,7 @@
 	p.X.Label.Text = "ms"
 	var points plotter.XYs
 	for quantile := 0.0; quantile <= 1.0001; quantile += 0.01 {
-		if startupMs := s.Whole.StartUp(math.Min(quantile, 1)); !math.IsNaN(startupMs) {
+		if startupMs := s.Total.StartupQuantile(math.Min(quantile, 1)); !math.IsNaN(startupMs) {
 			points = append(points, plotter.XY{X: startupMs, Y: quantile})
 		}
 	}
@@ -244,9 +244,9 @@
 	for _, rack := range s.Racks {
 		sum := &quality.Group{}
 		for _, group := range s.GroupsByRack[rack] {
-			sum.Reports, sum.Stalled = sum.Reports+group.Reports, sum.Stalled+group.Stalled
+			sum.Reports, sum.StalledReports = sum.Reports+group.Reports, sum.StalledReports+group.StalledReports
 		}
-		shares = append(shares, float64(sum.Stalled)/math.Max(float64(sum.Reports), 1))
+		shares = append(shares, float64(sum.StalledReports)/math.Max(float64(sum.Reports), 1))
 	}
 	return barPlot("reports with a stall, by rack", shares, s.Racks)
 }
@@ -257,7 +257,7 @@
 	var names []string
 	for i, cause := range s.Causes {
 		if i < 10 || i == len(s.Causes)-1 {
-			losses, names = append(losses, cause.Lost), append(names, cause.Cause)
+			losses, names = append(losses, cause.QualityLost), append(names, cause.Cause)
 		}
 	}
 	return barPlot("worth lost, by cause", losses, names)
