--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -39,10 +39,10 @@
 // Error describes why a message was rejected; Status is the status code with which a server answers it.
 type Error struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("http1: %s", e.Why) }
+func (e *Error) Error() string { return fmt.Sprintf("http1: %s", e.Reason) }
 
 // badRequest returns an Error with status 400.
 func badRequest(why string) *Error { return &Error{400, why} }
@@ -500,8 +500,8 @@
 	return n, true
 }
 
-// HasWord reports whether a comma-separated list contains the given lower-case item.
-func HasWord(list []byte, word string) bool { return listContains(list, word) }
+// ListContains reports whether a comma-separated list contains the given lower-case item.
+func ListContains(list []byte, word string) bool { return listContains(list, word) }
 
 // listContains reports whether a comma-separated list contains the given lower-case item.
 func listContains(list []byte, word string) bool {
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -201,7 +201,7 @@
 	f.Add([]byte("event: a\ndata: b\n\n: c\r\n\r\ndata\ndata: d\r\n\r\n"), uint8(1))
 	f.Fuzz(func(t *testing.T, text []byte, part uint8) {
 		read := func(size int) string {
-			e, out := Events{Max: 128}, ""
+			e, out := EventParser{Max: 128}, ""
 			for b := text; len(b) > 0; {
 				n := min(size, len(b))
 				if e.Feed(b[:n], func(k, d []byte) { out += fmt.Sprintf("%q:%q;", k, d) }) != nil {
@@ -219,13 +219,13 @@
 
 func TestEvents(t *testing.T) {
 	var got []string
-	e := Events{}
+	e := EventParser{}
 	err := e.Feed([]byte("event: hello\ndata: {\"a\":1}\n\n:\n\ndata: x\r\ndata: y\r\n\r\nevent: none\n\n"),
 		func(k, d []byte) { got = append(got, string(k)+"="+string(d)) })
 	if err != nil || strings.Join(got, ";") != `hello={"a":1};message=x`+"\ny" {
 		t.Fatalf("%q %v", got, err)
 	}
-	small := Events{Max: 10}
+	small := EventParser{Max: 10}
 	if small.Feed([]byte("data: 0123456789"), func(_, _ []byte) {}) == nil {
 		t.Fatal("an event over the limit is accepted")
 	}
--- a/internal/http1/sse.go
+++ b/internal/http1/sse.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// Events incrementally parses a text/event-stream (WHATWG HTML, section 9.2.6), split anywhere. A line or an event of
+// EventParser incrementally parses a text/event-stream (WHATWG HTML, section 9.2.6), split anywhere. A line or an event of
 // more than Max bytes is an error, after which the caller has to close the stream and open a new one.
-type Events struct {
+type EventParser struct {
 	Max     int // bytes of one event's data [65536]
 	line    []byte
 	kind    []byte
@@ -18,7 +18,7 @@
 
 // Feed calls onEvent for each complete event; kind is "message" if the stream names none. Its arguments are valid during
 // the call.
-func (e *Events) Feed(b []byte, onEvent func(kind, data []byte)) error {
+func (e *EventParser) Feed(b []byte, onEvent func(kind, data []byte)) error {
 	limit := e.Max
 	if limit <= 0 {
 		limit = 65536
@@ -50,7 +50,7 @@
 }
 
 // processLine handles the line in e.line; an empty line dispatches the event.
-func (e *Events) processLine(f func(kind, data []byte)) {
+func (e *EventParser) processLine(f func(kind, data []byte)) {
 	if len(e.line) == 0 {
 		if e.hasData {
 			kind := e.kind
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -12,8 +12,8 @@
 // Reason returns the reason phrase of a status code that headmill sends, and an empty string for other codes.
 func Reason(code int) string { return reasonPhrases[code] }
 
-// AppendStatus appends the status line of a response.
-func AppendStatus(b []byte, code int) []byte {
+// AppendStatusLine appends the status line of a response.
+func AppendStatusLine(b []byte, code int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(code), 10)
 	b = append(b, ' ')
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -14,7 +14,7 @@
 	// Data delivers received bytes, split at arbitrary points; b is only valid during the call.
 	Data(c *Conn, b []byte)
 	// Drained is called when the kernel has taken all buffered output.
-	Drained(c *Conn)
+	Flushed(c *Conn)
 	// Closed is the last call for c and is made exactly once. err is nil after an orderly end of stream and after a
 	// close without an error.
 	Closed(c *Conn, err error)
@@ -44,9 +44,9 @@
 	closeAfterFlush bool // close once outBuf has been sent
 }
 
-// ErrConnectTimeout is the error of a dialled connection that was not established; it wraps the reason where the kernel
+// ErrConnectFailed is the error of a dialled connection that was not established; it wraps the reason where the kernel
 // gives one.
-var ErrConnectTimeout = errors.New("loop: connect failed")
+var ErrConnectFailed = errors.New("loop: connect failed")
 
 // Dial starts connecting to an address that the loop permits. The result is reported to h by Connected or Closed, never
 // during this call.
@@ -57,7 +57,7 @@
 	}
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("%w: socket: %w", ErrConnectTimeout, err)
+		return nil, fmt.Errorf("%w: socket: %w", ErrConnectFailed, err)
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c := &Conn{loop: l, handler: h, fd: fd, peer: sa}
@@ -69,7 +69,7 @@
 	}
 	l.conns[fd] = c
 	if err != nil && err != unix.EINPROGRESS {
-		c.Close(fmt.Errorf("%w: %w", ErrConnectTimeout, err))
+		c.Close(fmt.Errorf("%w: %w", ErrConnectFailed, err))
 	}
 	return c, nil
 }
@@ -120,12 +120,12 @@
 // Pending returns the number of output bytes that the kernel has not taken yet.
 func (c *Conn) Pending() int { return len(c.outBuf) }
 
-// SetLimit bounds the buffered output in bytes; beyond it the connection is closed with ErrSlowReader. 0 means no bound.
-func (c *Conn) SetLimit(n int) { c.outLimit = n }
+// SetOutputLimit bounds the buffered output in bytes; beyond it the connection is closed with ErrSlowReader. 0 means no bound.
+func (c *Conn) SetOutputLimit(n int) { c.outLimit = n }
 
-// Pause stops reading, to apply back-pressure to a peer that sends faster than its data is processed; Pause(false)
+// SetReadPaused stops reading, to apply back-pressure to a peer that sends faster than its data is processed; Pause(false)
 // resumes it.
-func (c *Conn) Pause(on bool) {
+func (c *Conn) SetReadPaused(on bool) {
 	if c.readPaused != on {
 		c.readPaused = on
 		c.updateInterest()
@@ -175,10 +175,10 @@
 	return sent, nil
 }
 
-// CloseWrite closes the connection once all buffered output has been sent. What the peer still sends is then read and
+// CloseGracefully closes the connection once all buffered output has been sent. What the peer still sends is then read and
 // discarded for a bounded time: closing a socket with unread input resets the connection, and the peer may lose the
 // response that explains the close (RFC 9112 section 9.6; RFC 6455 section 7.1.1; nginx calls it a lingering close).
-func (c *Conn) CloseWrite() {
+func (c *Conn) CloseGracefully() {
 	if c.state == stateOpen && len(c.outBuf) > 0 {
 		c.closeAfterFlush = true
 		return
@@ -281,7 +281,7 @@
 			err = unix.Errno(code)
 		}
 		if err != nil {
-			c.Close(fmt.Errorf("%w: %w", ErrConnectTimeout, err))
+			c.Close(fmt.Errorf("%w: %w", ErrConnectFailed, err))
 			return
 		}
 		c.state = stateOpen
@@ -308,7 +308,7 @@
 			return
 		}
 		c.updateInterest()
-		c.handler.Drained(c)
+		c.handler.Flushed(c)
 	}
 }
 
@@ -340,9 +340,9 @@
 // IsConnRefused reports whether err means that nothing listens at the peer's address.
 func IsConnRefused(err error) bool { return errors.Is(err, unix.ECONNREFUSED) }
 
-// WriteClosed reports whether the peer has closed its side and all that it sent has been read, or the connection is no
+// PeerClosed reports whether the peer has closed its side and all that it sent has been read, or the connection is no
 // longer open. It queries the kernel, which may know of the end of stream before the loop has handled it.
-func (c *Conn) WriteClosed() bool {
+func (c *Conn) PeerClosed() bool {
 	if c.state != stateOpen {
 		return true
 	}
@@ -351,9 +351,9 @@
 	return err == nil && n == 0 || err != nil && err != unix.EAGAIN && err != unix.EINTR
 }
 
-// Idle reports whether an idle connection can be reused: open, no unread input, no end of stream. It queries the
+// Reusable reports whether an idle connection can be reused: open, no unread input, no end of stream. It queries the
 // kernel, so that a close by the peer that the loop has not handled yet is noticed too.
-func (c *Conn) Idle() bool {
+func (c *Conn) Reusable() bool {
 	if !c.Open() {
 		return false
 	}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -21,7 +21,7 @@
 }
 
 func (e *echoHandler) Connected(*Conn) {}
-func (e *echoHandler) Drained(*Conn)   {}
+func (e *echoHandler) Flushed(*Conn)   {}
 func (e *echoHandler) Data(c *Conn, b []byte) {
 	e.mu.Lock()
 	e.got += len(b)
@@ -99,7 +99,7 @@
 
 func TestSlowReaderIsClosed(t *testing.T) {
 	e := &echoHandler{floodBytes: 64 << 20}
-	_, addr := startLoop(t, func(c *Conn) Handler { c.SetLimit(1 << 20); return e })
+	_, addr := startLoop(t, func(c *Conn) Handler { c.SetOutputLimit(1 << 20); return e })
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 
 func (e *replyAndClose) Data(c *Conn, _ []byte) {
 	c.Write([]byte("too long"))
-	c.CloseWrite()
+	c.CloseGracefully()
 }
 
 // A peer that is still sending a long message reads the answer and an orderly end of stream, not a reset. A peer that
@@ -167,7 +167,7 @@
 func TestPauseStopsReading(t *testing.T) {
 	e := &echoHandler{discard: true}
 	var conn *Conn
-	l, addr := startLoop(t, func(c *Conn) Handler { c.Pause(true); conn = c; return e })
+	l, addr := startLoop(t, func(c *Conn) Handler { c.SetReadPaused(true); conn = c; return e })
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -179,7 +179,7 @@
 	if <-seen {
 		t.Fatal("data was read from a paused connection")
 	}
-	l.Post(func() { conn.Pause(false) })
+	l.Post(func() { conn.SetReadPaused(false) })
 	waitFor(t, "the bytes", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.got == 5 })
 }
 
@@ -207,7 +207,7 @@
 }
 
 func (d *dialHandler) Connected(*Conn)           { d.connected <- true }
-func (d *dialHandler) Drained(*Conn)             {}
+func (d *dialHandler) Flushed(*Conn)             {}
 func (d *dialHandler) Data(*Conn, []byte)        {}
 func (d *dialHandler) Closed(_ *Conn, err error) { d.closed <- err }
 
@@ -218,7 +218,7 @@
 	l.Post(func() { c, _ = l.Dial(addr, d) })
 	<-d.connected
 	idle := make(chan bool, 1)
-	l.Post(func() { idle <- c.Idle() && c.Written() == 0 })
+	l.Post(func() { idle <- c.Reusable() && c.Written() == 0 })
 	if !<-idle {
 		t.Error("a new connection is not idle")
 	}
@@ -231,7 +231,7 @@
 	closedAddr := ln.Addr().String()
 	ln.Close()
 	l.Post(func() { l.Dial(closedAddr, d) })
-	if err := <-d.closed; !errors.Is(err, ErrConnectTimeout) || !IsConnRefused(err) {
+	if err := <-d.closed; !errors.Is(err, ErrConnectFailed) || !IsConnRefused(err) {
 		t.Errorf("connection to a closed port: %v, want connection refused", err)
 	}
 	for _, bad := range []string{"10.0.0.1:80", "x", "[::1]:80"} {
@@ -262,10 +262,10 @@
 	stillIdle := make(chan bool, 1)
 	l.Post(func() { // within one call on the loop, so that the event of the close cannot have been handled
 		(<-peer).Close()
-		for end := time.Now().Add(5 * time.Second); c.Idle() && time.Now().Before(end); {
+		for end := time.Now().Add(5 * time.Second); c.Reusable() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		stillIdle <- c.Idle()
+		stillIdle <- c.Reusable()
 	})
 	if <-stillIdle {
 		t.Fatal("a connection that the peer has closed is reported as idle")
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -17,14 +17,14 @@
 // Load is a media node's load report: its streams, running or being set up, and the load of its link (X0) and of its
 // rack's uplink (X1), each as the ratio of demand to capacity.
 type Load struct {
-	Present         bool // at least one of the metrics was reported
-	Streams, X0, X1 float64
+	Present                       bool // at least one of the metrics was reported
+	Streams, LinkLoad, UplinkLoad float64
 }
 
 // Parse parses a field value. Malformed and unknown parts are ignored, as the format requires: a load report must never
 // cause a response to be rejected.
 func Parse(value string) Load {
-	l := Load{Streams: -1, X0: -1, X1: -1}
+	l := Load{Streams: -1, LinkLoad: -1, UplinkLoad: -1}
 	form, rest, _ := strings.Cut(strings.TrimSpace(value), " ")
 	switch form {
 	case "TEXT":
@@ -59,9 +59,9 @@
 	case "inflight":
 		l.Streams, l.Present = number, true
 	case "x0":
-		l.X0, l.Present = number, true
+		l.LinkLoad, l.Present = number, true
 	case "x1":
-		l.X1, l.Present = number, true
+		l.UplinkLoad, l.Present = number, true
 	}
 }
 
@@ -71,7 +71,7 @@
 	for _, f := range []struct {
 		name  string
 		value float64
-	}{{"inflight", l.Streams}, {"x0", l.X0}, {"x1", l.X1}} {
+	}{{"inflight", l.Streams}, {"x0", l.LinkLoad}, {"x1", l.UplinkLoad}} {
 		if f.value < 0 {
 			continue
 		}
--- a/internal/platform/proxy/attempt.go
+++ b/internal/platform/proxy/attempt.go
@@ -23,7 +23,7 @@
 	startOffset     int64           // value of the connection's Written at which the set-up begins
 	written         bool
 	reportNeverSent bool // an outcome that proves it never ran is reported as NeverSent
-	report          headmill.Report
+	report          headmill.LoadReport
 	deadlineTimer   *loop.Timer
 }
 
@@ -166,10 +166,10 @@
 }
 
 // moduleOutcomes translates the outcomes of attempts that do not play.
-var moduleOutcomes = map[attempt.Outcome]headmill.Outcome{attempt.OutcomeFull: headmill.Full,
-	attempt.OutcomeConnectFailed: headmill.ConnectFailed, attempt.OutcomeError: headmill.Failed,
-	attempt.OutcomeReset: headmill.Reset, attempt.OutcomeTimedOut: headmill.TimedOut,
-	attempt.OutcomeCancelled: headmill.Cancelled}
+var moduleOutcomes = map[attempt.Outcome]headmill.Outcome{attempt.OutcomeFull: headmill.OutcomeFull,
+	attempt.OutcomeNeverSent: headmill.OutcomeConnectFailed, attempt.OutcomeError: headmill.OutcomeFailed,
+	attempt.OutcomeReset: headmill.OutcomeReset, attempt.OutcomeTimedOut: headmill.OutcomeTimedOut,
+	attempt.OutcomeCancelled: headmill.OutcomeCancelled}
 
 // reportOutcome reports the outcome of an attempt that does not play to the module.
 func (a *setupAttempt) reportOutcome(o attempt.Outcome) {
@@ -183,10 +183,10 @@
 	}
 	outcome := moduleOutcomes[o]
 	if a.reportNeverSent && o.NeverRan() { // the media node states it, or the attempt was cancelled before a byte left
-		outcome = headmill.NeverSent
+		outcome = headmill.OutcomeNeverSent
 	}
 	p.queueEvent(headmill.Event{Kind: headmill.EvAttemptEnded, Session: s.moduleID, Node: a.node.id, Outcome: outcome,
-		SessionOver: s.state == stateEnded, LatencyMs: p.loop.Now() - a.startedAt, Report: a.report})
+		SessionOver: s.state == stateEnded, LatencyMs: p.loop.Now() - a.startedAt, LoadReport: a.report})
 }
 
 // sendRung sends the rung that the module has set, unless it is in force or already sent. A set-up that is not yet
--- a/internal/platform/proxy/config_test.go
+++ b/internal/platform/proxy/config_test.go
@@ -25,7 +25,7 @@
 	if cfg.Seed != 0x8c1f || cfg.ConnectMs != 120.5 || cfg.Sockets != 256 || cfg.Cores != 0.5 ||
 		cfg.ClassIndex["free"] != 1 || cfg.TenantIndex["b"] != 1 || cfg.DeadlineMs[1] != 5000 ||
 		cfg.Vocabulary.Zones[1] != "west" || cfg.Vocabulary.Kinds[1] != "big" || len(cfg.ReportFields) != 2 ||
-		module.Self != 1 || module.Fronts != 3 || module.RateKB[1] != 200.5 ||
+		module.FrontIndex != 1 || module.Fronts != 3 || module.RateKB[1] != 200.5 ||
 		module.Classes[1].MinRung != 1 || module.Classes[1].RateScale != 0.7 {
 		t.Fatalf("%+v", cfg)
 	}
--- a/internal/platform/proxy/medianode.go
+++ b/internal/platform/proxy/medianode.go
@@ -93,10 +93,10 @@
 		return nil
 	}
 	nc.conn = conn
-	conn.SetLimit(maxNodeOutput)
+	conn.SetOutputLimit(maxNodeOutput)
 	n.conns = append(n.conns, nc)
 	n.proxy.nodeConnCount++
-	nc.connectTimer = n.proxy.loop.After(n.proxy.cfg.ConnectMs, func() { conn.Close(loop.ErrConnectTimeout) })
+	nc.connectTimer = n.proxy.loop.After(n.proxy.cfg.ConnectMs, func() { conn.Close(loop.ErrConnectFailed) })
 	return nc
 }
 
@@ -143,7 +143,7 @@
 // idleConn returns a connection that carries no set-up, so that a malformed answer to the new one affects no other.
 func (n *mediaNode) idleConn() *nodeConn {
 	for _, nc := range n.conns {
-		if nc.usable() && len(nc.attempts) == 0 && !nc.reader.Partial() && !nc.nearIdleTimeout() && nc.conn.Idle() {
+		if nc.usable() && len(nc.attempts) == 0 && !nc.reader.Partial() && !nc.nearIdleTimeout() && nc.conn.Reusable() {
 			return nc
 		}
 	}
@@ -276,7 +276,7 @@
 }
 
 // Drained implements loop.Handler.
-func (nc *nodeConn) Drained(*loop.Conn) {}
+func (nc *nodeConn) Flushed(*loop.Conn) {}
 
 // Data implements loop.Handler. It reads messages.
 func (nc *nodeConn) Data(conn *loop.Conn, data []byte) {
@@ -361,13 +361,13 @@
 			a.report = report
 			a.handleRelease(msg.Cause())
 		} else if s := node.sessions[msg.Session]; s != nil {
-			outcome := headmill.Reset
+			outcome := headmill.OutcomeReset
 			cause := int(msg.Cause())
 			switch cause {
 			case causeNormal:
-				outcome = headmill.Served
+				outcome = headmill.OutcomeServed
 			case causeCancelled:
-				outcome = headmill.Cancelled
+				outcome = headmill.OutcomeCancelled
 			}
 			p.sessionEnded(s, outcome, cause, report)
 		}
@@ -396,7 +396,7 @@
 		s.sentRung = int(value)
 	}
 	nc.node.proxy.queueEvent(headmill.Event{Kind: headmill.EvFeedback, Session: s.moduleID, Node: nc.node.id,
-		Feedback: kind, Value: value})
+		Feedback: kind, FeedbackValue: value})
 }
 
 // sweep closes connections with an overdue incomplete message and unused ones near their idle timeout. It drops the
--- a/internal/platform/proxy/proxy.go
+++ b/internal/platform/proxy/proxy.go
@@ -158,7 +158,7 @@
 		IdleTimeoutMs: idleTimeoutMs})
 	maxReleases := 1 << 16
 	if quota := int64(cfg.MemoryMB * (1 << 20) / quotaMemoryDivisor); quota > 0 {
-		p.quotas.SetLimit(limits.Waiting, quota)
+		p.quotas.SetLimit(limits.PendingSetups, quota)
 		p.quotas.SetLimit(limits.Sessions, quota/sessionEntryBytes)
 		maxReleases = int(quota / sessionEntryBytes)
 	}
@@ -292,7 +292,7 @@
 			p.startAttempt(s, action.Node, action.AtMs)
 		} else { // its viewer left in the same round: the module must not wait for an attempt that is never made
 			p.queueEvent(headmill.Event{Kind: headmill.EvAttemptEnded, Session: action.Session, Node: action.Node,
-				Outcome: headmill.NeverSent, SessionOver: true})
+				Outcome: headmill.OutcomeNeverSent, SessionOver: true})
 		}
 	case headmill.ActSetRung:
 		if s != nil {
@@ -310,9 +310,9 @@
 			p.rejectSetup(s, causeError, 0)
 		}
 	case headmill.ActTimer:
-		timer := action.Timer
+		timer := action.TimerID
 		p.loop.At(action.AtMs-p.unixOffsetMs, func() {
-			p.queueEvent(headmill.Event{Kind: headmill.EvTimer, Timer: timer})
+			p.queueEvent(headmill.Event{Kind: headmill.EvTimer, TimerID: timer})
 		})
 	case headmill.ActSubscribe: // nothing to do: the discovery service is queried all the time
 	case headmill.ActLog:
@@ -334,7 +334,7 @@
 	case health.SessionLost, health.EndOrphan:
 		if s := p.sessionsByModuleID[headmill.SessionID(action.Session)]; s != nil && s.state != statePending {
 			p.stats.Lost++
-			p.sessionEnded(s, headmill.Reset, causeReset, headmill.Report{})
+			p.sessionEnded(s, headmill.OutcomeReset, causeReset, headmill.LoadReport{})
 		}
 	case health.NodeDown:
 		p.log.Warn("media node is down; its sessions are given up", "host", n.name, "sessions", action.Count)
@@ -342,7 +342,7 @@
 }
 
 // parseReport reads a load report, NAME:VALUE;..., with the names from the settings.
-func (p *Proxy) parseReport(b []byte) headmill.Report {
+func (p *Proxy) parseReport(b []byte) headmill.LoadReport {
 	text := string(b)
 	return wire.ReadReport(p.cfg.ReportFields, func(_ int, name string) (float64, bool) {
 		value, ok := namedValue(text, name)
--- a/internal/platform/proxy/proxy_test.go
+++ b/internal/platform/proxy/proxy_test.go
@@ -84,10 +84,10 @@
 	s := h.session(id1)
 	h.runOnLoop(func() {
 		a.conn.Close()
-		for s.viewer.conn.Idle() { // the close has reached the kernel, but not yet the loop
+		for s.viewer.conn.Reusable() { // the close has reached the kernel, but not yet the loop
 			time.Sleep(time.Millisecond)
 		}
-		h.proxy.sessionEnded(s, headmill.Served, causeNormal, headmill.Report{})
+		h.proxy.sessionEnded(s, headmill.OutcomeServed, causeNormal, headmill.LoadReport{})
 	})
 	if reply := b.receive(); reply.Type != "release" || reply.ID != id1 || reply.Cause != causeNormal {
 		t.Fatalf("%+v", reply)
@@ -681,7 +681,7 @@
 	h.waitFor("quota is not returned", func(Stats) bool {
 		var used int64
 		h.runOnLoop(func() {
-			used = h.proxy.quotas.Usage(limits.Waiting).Used + h.proxy.quotas.Usage(limits.Sessions).Used
+			used = h.proxy.quotas.Usage(limits.PendingSetups).Used + h.proxy.quotas.Usage(limits.Sessions).Used
 		})
 		return used == 0
 	})
@@ -721,7 +721,7 @@
 		h.runOnLoop(func() {
 			p := h.proxy
 			out = fmt.Sprint(len(p.sessions), len(p.sessionsByModuleID), len(p.viewers), p.connManager.Len(),
-				p.pendingSetups, p.retransmitter.Len(), p.quotas.Usage(limits.Waiting).Used,
+				p.pendingSetups, p.retransmitter.Len(), p.quotas.Usage(limits.PendingSetups).Used,
 				p.quotas.Usage(limits.Sessions).Used, len(p.nodes)-1)
 			for _, n := range p.nodes {
 				out += fmt.Sprint(" ", len(n.sessions), len(n.queue))
--- a/internal/platform/proxy/race_test.go
+++ b/internal/platform/proxy/race_test.go
@@ -20,7 +20,7 @@
 
 // waitForPeerClose waits until the peer's close has reached the kernel. It runs on the loop, which has not seen it yet.
 func waitForPeerClose(t *testing.T, conn *loop.Conn) {
-	for deadline := time.Now().Add(testTimeout); !conn.WriteClosed(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !conn.PeerClosed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Error("the close does not arrive")
 			return
@@ -54,7 +54,7 @@
 
 // unreadData returns 1 if bytes wait to be read, else 0.
 func unreadData(conn *loop.Conn) int {
-	if conn.Idle() {
+	if conn.Reusable() {
 		return 0
 	}
 	return 1
@@ -181,7 +181,7 @@
 	_, setup := h.playSession(v, id1)
 	h.runOnLoop(func() {
 		conn := h.proxy.sessions[setup.id].viewer.conn
-		conn.SetLimit(0)
+		conn.SetOutputLimit(0)
 		for big := make([]byte, 1<<20); conn.Pending() == 0; {
 			conn.Write(big)
 		}
--- a/internal/platform/proxy/session.go
+++ b/internal/platform/proxy/session.go
@@ -67,7 +67,7 @@
 // releaseSetupQuota returns what a set-up held while it was pending.
 func (p *Proxy) releaseSetupQuota(s *session) {
 	p.pendingSetups--
-	p.quotas.Release(limits.Waiting, int64(len(s.sdp)))
+	p.quotas.Release(limits.PendingSetups, int64(len(s.sdp)))
 	s.sdp = ""
 }
 
@@ -92,10 +92,10 @@
 		p.log.Debug("session plays at a media node that is not listed", "host", r.playingAt)
 		p.notifySessionEnd(v, id, causeReset)
 		return
-	case !p.quotas.Fits(limits.Sessions, 1), r.playingAt == "" && !p.quotas.Acquire(limits.Waiting, sdpBytes):
+	case !p.quotas.Fits(limits.Sessions, 1), r.playingAt == "" && !p.quotas.Acquire(limits.PendingSetups, sdpBytes):
 		p.stats.Denied++
 		waitMs := 0.0
-		if module := &p.cfg.Module; module.RetryAfter {
+		if module := &p.cfg.Module; module.AdviseRetryAfter {
 			waitMs = module.MaxRetryAfterMs
 		}
 		v.sendRelease(id, causeCongested, waitMs)
@@ -151,7 +151,7 @@
 
 // sessionEnded removes a session that played and reports its end to the module and, unless the viewer ended it, to the
 // viewer.
-func (p *Proxy) sessionEnded(s *session, outcome headmill.Outcome, cause int, report headmill.Report) {
+func (p *Proxy) sessionEnded(s *session, outcome headmill.Outcome, cause int, report headmill.LoadReport) {
 	if s.state != statePlaying && s.state != stateEnding {
 		return
 	}
@@ -161,7 +161,7 @@
 		p.notifySessionEnd(s.viewer, s.id, cause)
 	}
 	p.queueEvent(headmill.Event{Kind: headmill.EvAttemptEnded, Session: s.moduleID, Node: s.node.id, Outcome: outcome,
-		SessionOver: true, Report: report})
+		SessionOver: true, LoadReport: report})
 	p.queueHealthEvent(health.Event{Kind: health.SessionEnded, Node: health.NodeID(s.node.id),
 		Session: health.SessionID(s.moduleID)})
 	p.removeSession(s)
@@ -172,7 +172,7 @@
 // or a session play, that no viewer uses.
 func (p *Proxy) viewerDisconnected(s *session) bool {
 	v := s.viewer
-	if s.state != statePending || v == nil || !v.conn.WriteClosed() {
+	if s.state != statePending || v == nil || !v.conn.PeerClosed() {
 		return s.state == stateEnded
 	}
 	v.conn.Close(nil)
@@ -198,7 +198,7 @@
 		s.node.sendRelease(s.id, p.loop.Now())
 		s.endTimer = p.loop.After(endConfirmMs, func() {
 			s.endTimer = nil
-			p.sessionEnded(s, headmill.Cancelled, causeCancelled, headmill.Report{})
+			p.sessionEnded(s, headmill.OutcomeCancelled, causeCancelled, headmill.LoadReport{})
 		})
 	}
 }
--- a/internal/platform/proxy/viewer.go
+++ b/internal/platform/proxy/viewer.go
@@ -38,7 +38,7 @@
 	p.lastConnID++
 	v := &viewer{proxy: p, conn: conn, id: p.lastConnID, pending: map[*session]struct{}{},
 		playing: map[*session]struct{}{}}
-	conn.SetLimit(maxViewerOutput)
+	conn.SetOutputLimit(maxViewerOutput)
 	p.viewers[v.id] = v
 	p.stepConnManager(connmgr.Event{Kind: connmgr.Accepted, Conn: v.id})
 	if p.viewers[v.id] == nil {
@@ -59,7 +59,7 @@
 		case action.Reason == connmgr.LimitReached:
 			v.conn.Close(loop.ErrClosedByOwner)
 		default:
-			v.conn.CloseWrite()
+			v.conn.CloseGracefully()
 		}
 		if action.Reason == connmgr.NoRequest || action.Reason == connmgr.IncompleteMessage {
 			p.stats.Bad++
@@ -69,7 +69,7 @@
 
 // reportLoad reports to the connection manager what the connection carries.
 func (v *viewer) reportLoad() {
-	v.proxy.stepConnManager(connmgr.Event{Kind: connmgr.LoadChanged, Conn: v.id, PendingSetups: len(v.pending),
+	v.proxy.stepConnManager(connmgr.Event{Kind: connmgr.UseChanged, Conn: v.id, PendingSetups: len(v.pending),
 		Sessions: len(v.playing)})
 }
 
@@ -77,7 +77,7 @@
 func (v *viewer) Connected(*loop.Conn) {}
 
 // Drained implements loop.Handler.
-func (v *viewer) Drained(*loop.Conn) {}
+func (v *viewer) Flushed(*loop.Conn) {}
 
 // Closed implements loop.Handler. It gives up the pending set-ups. Sessions that play are bound to no connection and
 // play on, except those whose answer was not written completely.
@@ -131,7 +131,7 @@
 	v.proxy.stats.Bad++
 	v.proxy.log.Debug("malformed line from a viewer", "error", err.Error())
 	v.partialLine = nil
-	v.conn.CloseWrite()
+	v.conn.CloseGracefully()
 }
 
 // handleLine parses and carries out one line.
--- a/internal/standin/balancer/balancer.go
+++ b/internal/standin/balancer/balancer.go
@@ -73,8 +73,8 @@
 	b.listener.Close()
 }
 
-// Look returns the present state of a server.
-func (b *Balancer) Look(i int) Server {
+// ServerState returns the present state of a server.
+func (b *Balancer) ServerState(i int) Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return *b.servers[i]
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -32,15 +32,15 @@
 
 // Spec describes a fleet.
 type Spec struct {
-	Directors, Boxes       int              // number of directors and of media nodes
+	Directors, Nodes       int              // number of directors and of media nodes
 	Racks                  int              // media nodes are spread over the racks in turn
 	Relays                 bool             // recording relays stand between viewers, directors, nodes and discovery
 	Base                   config.Settings  // settings that all directors share
-	Box                    medianode.Config // configuration that all media nodes share
+	NodeConfig             medianode.Config // configuration that all media nodes share
 	ListStateDelayMs       float64          // discovery.Config.StateDelayMs
-	ListAddMs              float64          // discovery.Config.StartDelayMs
+	ListStartDelayMs       float64          // discovery.Config.StartDelayMs
 	ListHeartbeatTimeoutMs float64          // discovery.Config.SilentMs
-	Exe                    string           // path of the headmill executable
+	Executable             string           // path of the headmill executable
 	Dir                    string           // folder for settings, keys and logs
 }
 
@@ -94,8 +94,8 @@
 	Boxes          map[string]*relay.Relay // not set: directors reach the media nodes through the nodes' relays
 	URL            string                  // base URL of a director for viewers
 	Proc           *Proc                   // nil until started
-	Conf           string                  // path of a director's settings
-	Box            medianode.Config        // configuration of a media node
+	SettingsPath   string                  // path of a director's settings
+	NodeConfig     medianode.Config        // configuration of a media node
 	listenerFile   *os.File                // listening socket that a director inherits at each start
 }
 
@@ -105,7 +105,7 @@
 	Log       *relay.Log // records of all relays
 	Discovery *discovery.Server
 	Directors []*Member
-	Boxes     []*Member // media nodes
+	Nodes     []*Member // media nodes
 	Key       token.Key // signs session tokens
 	Keys      []byte    // public JSON Web Key Set
 }
@@ -128,21 +128,21 @@
 	}
 	var err error
 	cluster.Discovery, err = discovery.Start(discovery.Config{Addr: "127.0.0.1:0", StateDelayMs: spec.ListStateDelayMs,
-		StartDelayMs: spec.ListAddMs, SilentMs: spec.ListHeartbeatTimeoutMs})
+		StartDelayMs: spec.ListStartDelayMs, HeartbeatTimeoutMs: spec.ListHeartbeatTimeoutMs})
 	if err != nil {
 		return nil, err
 	}
-	for i := range spec.Boxes {
-		node := &Member{Name: fmt.Sprintf("b%d", i), Box: spec.Box}
-		node.Box.Cell, node.Box.Rack = i, i%spec.Racks
-		node.Box.Keys, node.Box.ListAddr = cluster.Keys, cluster.Discovery.Addr()
+	for i := range spec.Nodes {
+		node := &Member{Name: fmt.Sprintf("b%d", i), NodeConfig: spec.NodeConfig}
+		node.NodeConfig.Cell, node.NodeConfig.Rack = i, i%spec.Racks
+		node.NodeConfig.Keys, node.NodeConfig.DiscoveryAddr = cluster.Keys, cluster.Discovery.Addr()
 		if spec.Relays {
 			if node.Relay, err = relay.New(cluster.Log, node.Name, "127.0.0.1:1", false); err != nil {
 				return nil, err
 			}
-			node.Box.PublicAddr = node.Relay.Addr()
+			node.NodeConfig.PublicAddr = node.Relay.Addr()
 		}
-		cluster.Boxes = append(cluster.Boxes, node)
+		cluster.Nodes = append(cluster.Nodes, node)
 	}
 	return cluster, cluster.configureDirectors()
 }
@@ -179,23 +179,23 @@
 	for _, director := range cluster.Directors {
 		settings := cluster.Spec.Base
 		settings.Director.Name, settings.Director.Directors, settings.Director.URLs = director.Name, names, urls
-		settings.Director.Listen, settings.List.Addr, settings.Tokens.Keys =
+		settings.Director.Listen, settings.Discovery.Addr, settings.Tokens.Keys =
 			"127.0.0.1:0", cluster.Discovery.Addr(), "keys.json"
 		settings.Director.Operator = "127.0.0.1:0"
 		settings.Director.FirstStart = true
 		if director.DiscoveryRelay != nil {
-			settings.List.Addr = director.DiscoveryRelay.Addr()
+			settings.Discovery.Addr = director.DiscoveryRelay.Addr()
 		}
 		settings.Log.File = filepath.Join(cluster.Spec.Dir, director.Name+".log")
 		text, err := toml.Marshal(settings)
 		if err != nil {
 			return err
 		}
-		director.Conf = filepath.Join(cluster.Spec.Dir, director.Name+".toml")
-		if err := os.WriteFile(director.Conf, text, 0o644); err != nil {
+		director.SettingsPath = filepath.Join(cluster.Spec.Dir, director.Name+".toml")
+		if err := os.WriteFile(director.SettingsPath, text, 0o644); err != nil {
 			return err
 		}
-		if _, err := config.Load(director.Conf); err != nil {
+		if _, err := config.Load(director.SettingsPath); err != nil {
 			return fmt.Errorf("cluster: generated settings are invalid: %w", err)
 		}
 	}
@@ -206,7 +206,7 @@
 // output line, which carries its addresses in JSON. The child stops when its
 // standard input is closed, so that no process is left behind if this one dies.
 func (cluster *Cluster) spawn(name string, files []*os.File, args ...string) (*Proc, error) {
-	cmd := exec.Command(cluster.Spec.Exe, args...)
+	cmd := exec.Command(cluster.Spec.Executable, args...)
 	cmd.ExtraFiles = files
 	// A process group of its own: Ctrl-C must reach only this process, which stops the others in order.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -255,11 +255,11 @@
 	return proc, nil
 }
 
-// StartBox starts a media node's process and directs its relay there; cold simulates a node that has just been
+// StartNode starts a media node's process and directs its relay there; cold simulates a node that has just been
 // switched on.
-func (cluster *Cluster) StartBox(node *Member, cold bool) error {
-	node.Box.Cold, node.Box.Addr = cold, "127.0.0.1:0"
-	conf, err := json.Marshal(node.Box)
+func (cluster *Cluster) StartNode(node *Member, cold bool) error {
+	node.NodeConfig.Cold, node.NodeConfig.Addr = cold, "127.0.0.1:0"
+	conf, err := json.Marshal(node.NodeConfig)
 	if err != nil {
 		return err
 	}
@@ -282,7 +282,7 @@
 // StartDirector starts a director's process on its socket; first says that no earlier run of this director has
 // accepted tokens.
 func (cluster *Cluster) StartDirector(director *Member, first bool) error {
-	args := []string{"serve", director.Conf, "--listen-fd", "3", "--follow-stdin"}
+	args := []string{"serve", director.SettingsPath, "--listen-fd", "3", "--follow-stdin"}
 	if !first {
 		args = append(args, "--again")
 	}
@@ -295,9 +295,9 @@
 
 // Start starts all members and waits until every director knows every media node.
 func (cluster *Cluster) Start() error {
-	errs := make(chan error, len(cluster.Boxes)+len(cluster.Directors))
-	for _, node := range cluster.Boxes {
-		go func() { errs <- cluster.StartBox(node, false) }()
+	errs := make(chan error, len(cluster.Nodes)+len(cluster.Directors))
+	for _, node := range cluster.Nodes {
+		go func() { errs <- cluster.StartNode(node, false) }()
 	}
 	for _, director := range cluster.Directors {
 		go func() { errs <- cluster.StartDirector(director, true) }()
@@ -310,7 +310,7 @@
 		return err
 	}
 	for _, director := range cluster.Directors {
-		if err := cluster.WaitDirector(director, len(cluster.Boxes)); err != nil {
+		if err := cluster.WaitDirector(director, len(cluster.Nodes)); err != nil {
 			return err
 		}
 	}
@@ -336,8 +336,8 @@
 	return fmt.Errorf("cluster: %s does not know its media nodes after 20 s", director.Name)
 }
 
-// WaitNoBoxes waits until a director reports that it has no media nodes (503 from /healthz).
-func (cluster *Cluster) WaitNoBoxes(director *Member) error {
+// WaitNoNodes waits until a director reports that it has no media nodes (503 from /healthz).
+func (cluster *Cluster) WaitNoNodes(director *Member) error {
 	client := &http.Client{Timeout: time.Second}
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if resp, err := client.Get("http://" + director.Proc.Addr + "/healthz"); err == nil {
@@ -381,7 +381,7 @@
 		}
 	}
 	wg.Wait()
-	for _, node := range cluster.Boxes {
+	for _, node := range cluster.Nodes {
 		if node.Proc != nil && node.Proc.Alive() {
 			node.Proc.Kill()
 		}
--- a/internal/standin/cluster/small.go
+++ b/internal/standin/cluster/small.go
@@ -7,9 +7,9 @@
 	"headmill/internal/standin/medianode"
 )
 
-// Small returns the specification of a fleet for loopback. Its rates are a small part of real ones, so that one machine
+// SmallSpec returns the specification of a fleet for loopback. Its rates are a small part of real ones, so that one machine
 // can carry the whole fleet. durationMs is the duration of the shortest titles.
-func Small(directors, nodes, titles int, durationMs float64) Spec {
+func SmallSpec(directors, nodes, titles int, durationMs float64) Spec {
 	settings := config.Default()
 	settings.Ladder = config.Ladder{RateKB: []float64{6, 14, 28, 56}, Worth: []float64{0.2, 0.5, 0.76, 1},
 		Width: []int{320, 640, 960, 1280}, SegmentMs: 1000, RungChangeCostS: 0.7}
@@ -38,9 +38,9 @@
 	for _, class := range settings.Classes {
 		scale[class.Name] = class.RateScale
 	}
-	return Spec{Directors: directors, Boxes: nodes, Racks: racks, Base: settings,
-		ListStateDelayMs: 800, ListAddMs: 200, ListHeartbeatTimeoutMs: 1500,
-		Box: medianode.Config{RateKB: settings.Ladder.RateKB, Scale: scale, LinkKB: linkKB, UplinkKB: uplinkKB,
-			Places: streams, Cores: 4, WorkMs: 25, SegmentMs: 1000, IdleMs: 5000, OrphanMs: 3000, TellMs: 2000,
-			LateMs: 600, WarmUpMs: 6000, ColdRateFraction: 0.4, OverloadFactor: 2, OverloadWindowMs: 1000}}
+	return Spec{Directors: directors, Nodes: nodes, Racks: racks, Base: settings,
+		ListStateDelayMs: 800, ListStartDelayMs: 200, ListHeartbeatTimeoutMs: 1500,
+		NodeConfig: medianode.Config{RateKB: settings.Ladder.RateKB, ClassScale: scale, LinkKB: linkKB, UplinkKB: uplinkKB,
+			MaxSessions: streams, Cores: 4, SetupWorkMs: 25, SegmentMs: 1000, IdleTimeoutMs: 5000, OrphanTimeoutMs: 3000, LoadReportIntervalMs: 2000,
+			LoadReportDelayMs: 600, WarmUpMs: 6000, ColdRateFraction: 0.4, OverloadFactor: 2, OverloadWindowMs: 1000}}
 }
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -26,10 +26,10 @@
 
 // Config holds the listen address and the service's delays.
 type Config struct {
-	Addr         string
-	StateDelayMs float64 // delay until directors learn of a change of state
-	StartDelayMs float64 // delay until directors learn of a node that has started
-	SilentMs     float64 // a node without a heartbeat for this long is gone
+	Addr               string
+	StateDelayMs       float64 // delay until directors learn of a change of state
+	StartDelayMs       float64 // delay until directors learn of a node that has started
+	HeartbeatTimeoutMs float64 // a node without a heartbeat for this long is gone
 }
 
 // heartbeat is the body of a node's POST /beat.
@@ -186,7 +186,7 @@
 		case now := <-ticker.C:
 			s.mu.Lock()
 			for _, record := range s.nodes {
-				if record.state != "gone" && now.Sub(record.lastHeartbeatAt).Seconds()*1000 > s.config.SilentMs {
+				if record.state != "gone" && now.Sub(record.lastHeartbeatAt).Seconds()*1000 > s.config.HeartbeatTimeoutMs {
 					record.state = "gone"
 					s.publishAfter(record, s.config.StateDelayMs)
 				}
--- a/internal/standin/medianode/node.go
+++ b/internal/standin/medianode/node.go
@@ -30,24 +30,24 @@
 // Config describes one media node. It is read from JSON, and partly from a
 // TOML table of a rehearsal's script; the tags keep the names used there.
 type Config struct {
-	Addr       string             // listen address
-	PublicAddr string             `json:"Public" toml:"Public"` // announced address, e.g. of a relay; default: listen address
-	RateKB     []float64          // ladder: rate of each rung in kB/s
-	Scale      map[string]float64 `json:"Scale" toml:"Scale"` // factor on the ladder's rates by class; default: 1
-	LinkKB     float64            // capacity of the node's link in kB/s
-	UplinkKB   float64            // capacity of the rack's uplink in kB/s; 0: not simulated
-	Places     int                `json:"Places" toml:"Places"` // maximum number of concurrent sessions
-	Cores      int                // set-ups processed at the same time, at least 1
-	WorkMs     float64            `json:"WorkMs" toml:"WorkMs"` // processing time of a set-up
-	Cell       int
-	Rack       int
-	Kind       int
-	Zone       int
-	SegmentMs  int
-	IdleMs     float64 `json:"IdleMs" toml:"IdleMs"`     // a session without a segment request for this long ends; 0: never
-	OrphanMs   float64 `json:"OrphanMs" toml:"OrphanMs"` // sessions of a director without an event stream for this long end
-	TellMs     float64 `json:"TellMs" toml:"TellMs"`     // interval of load reports; 0: none
-	LateMs     float64 `json:"LateMs" toml:"LateMs"`     // delay of load reports
+	Addr                 string             // listen address
+	PublicAddr           string             `json:"Public" toml:"Public"` // announced address, e.g. of a relay; default: listen address
+	RateKB               []float64          // ladder: rate of each rung in kB/s
+	ClassScale           map[string]float64 `json:"Scale" toml:"Scale"` // factor on the ladder's rates by class; default: 1
+	LinkKB               float64            // capacity of the node's link in kB/s
+	UplinkKB             float64            // capacity of the rack's uplink in kB/s; 0: not simulated
+	MaxSessions          int                `json:"Places" toml:"Places"` // maximum number of concurrent sessions
+	Cores                int                // set-ups processed at the same time, at least 1
+	SetupWorkMs          float64            `json:"WorkMs" toml:"WorkMs"` // processing time of a set-up
+	Cell                 int
+	Rack                 int
+	Kind                 int
+	Zone                 int
+	SegmentMs            int
+	IdleTimeoutMs        float64 `json:"IdleMs" toml:"IdleMs"`     // a session without a segment request for this long ends; 0: never
+	OrphanTimeoutMs      float64 `json:"OrphanMs" toml:"OrphanMs"` // sessions of a director without an event stream for this long end
+	LoadReportIntervalMs float64 `json:"TellMs" toml:"TellMs"`     // interval of load reports; 0: none
+	LoadReportDelayMs    float64 `json:"LateMs" toml:"LateMs"`     // delay of load reports
 
 	WarmUpMs         float64 `json:"WarmMs" toml:"WarmMs"`     // warm-up time after a cold start
 	ColdRateFraction float64 `json:"ColdFrom" toml:"ColdFrom"` // share of the warm set-up rate right after a cold start
@@ -55,26 +55,26 @@
 	OverloadWindowMs float64 `json:"TipMs" toml:"TipMs"`       // window over which that rate is measured
 	Cold             bool    // the node starts cold
 
-	Mute                    bool    `json:"Mute" toml:"Mute"`             // answers and events carry no link and uplink load
+	OmitLinkLoad            bool    `json:"Mute" toml:"Mute"`             // answers and events carry no link and uplink load
 	DelayedReportFraction   float64 `json:"LatePart" toml:"LatePart"`     // share of players' reports sent late, in any order
 	MaxReportDelayMs        float64 `json:"LateUpToMs" toml:"LateUpToMs"` // longest delay of those
 	DuplicateReportFraction float64 `json:"DoublePart" toml:"DoublePart"` // share of players' reports sent twice
 
-	ListAddr string `json:"ListAddr" toml:"ListAddr"` // address of the discovery service; empty: none
-	Keys     []byte // JSON Web Key Set
+	DiscoveryAddr string `json:"ListAddr" toml:"ListAddr"` // address of the discovery service; empty: none
+	Keys          []byte // JSON Web Key Set
 }
 
 // Faults are the failures that can be injected while the node runs; the zero
 // value means none.
 type Faults struct {
-	Slow            float64 `json:"slow"`     // factor by which the link and the set-ups are slower
+	Slowdown        float64 `json:"slow"`     // factor by which the link and the set-ups are slower
 	UplinkSlowdown  float64 `json:"uplink"`   // factor by which the rack's uplink carries less
 	ErrorFraction   float64 `json:"errors"`   // share of set-ups that fail at once
 	Hang            bool    `json:"hang"`     // set-ups are accepted and never answered
-	Lost            bool    `json:"lost"`     // set-ups run, but their answers are not sent
+	LoseAnswers     bool    `json:"lost"`     // set-ups run, but their answers are not sent
 	TruncateAnswers bool    `json:"half"`     // the connection breaks in the middle of a set-up's answer
 	EventDelayMs    float64 `json:"late_ms"`  // additional delay of load reports and of players' reports
-	AnswerMs        float64 `json:"answer"`   // delay of set-ups' answers
+	AnswerDelayMs   float64 `json:"answer"`   // delay of set-ups' answers
 	Draining        bool    `json:"draining"` // set-ups are refused
 }
 
@@ -124,7 +124,7 @@
 	errorSequence    int                     // set-ups counted for ErrorFraction
 	pendingReports   map[string][]cmcdReport // by director
 	reportedShortage bool                    // the last share event was below full
-	Fell             func()                  // called when an overload crashes the node
+	OnCrash          func()                  // called when an overload crashes the node
 	stop             chan struct{}
 }
 
@@ -175,8 +175,8 @@
 	go node.httpServer.Close()
 }
 
-// Set replaces the injected faults.
-func (node *Node) Set(f Faults) {
+// SetFaults replaces the injected faults.
+func (node *Node) SetFaults(f Faults) {
 	node.mu.Lock()
 	node.faults = f
 	node.mu.Unlock()
@@ -195,7 +195,7 @@
 		http.Error(w, err.Error(), 400)
 		return
 	}
-	node.Set(faults)
+	node.SetFaults(faults)
 }
 
 // writeProblem writes a problem document (RFC 9457); ran says whether the set-up may have run.
@@ -213,7 +213,7 @@
 		return math.Inf(1)
 	}
 	share := node.config.ColdRateFraction + (1-node.config.ColdRateFraction)*age/node.config.WarmUpMs
-	return float64(node.config.Places) / node.config.WarmUpMs * 1000 * share
+	return float64(node.config.MaxSessions) / node.config.WarmUpMs * 1000 * share
 }
 
 // recordColdSetup counts a set-up against the budget of a cold start and reports whether the budget is exceeded,
@@ -241,7 +241,7 @@
 
 // sessionRateKB returns the rate of a session at its rung, in kB/s.
 func (node *Node) sessionRateKB(s *session) float64 {
-	scale := node.config.Scale[s.class]
+	scale := node.config.ClassScale[s.class]
 	if scale == 0 {
 		scale = 1
 	}
@@ -249,15 +249,15 @@
 }
 
 // linkKB returns the present capacity of the link, in kB/s.
-func (node *Node) linkKB() float64 { return node.config.LinkKB / math.Max(node.faults.Slow, 1) }
+func (node *Node) linkKB() float64 { return node.config.LinkKB / math.Max(node.faults.Slowdown, 1) }
 
 // loadReport returns the present load; X0 is the load of the link and X1 that of the uplink, -1 where unknown.
 func (node *Node) loadReport() orca.Load {
-	if node.config.Mute {
-		return orca.Load{Present: true, Streams: float64(len(node.sessions) + node.pendingSetups), X0: -1, X1: -1}
+	if node.config.OmitLinkLoad {
+		return orca.Load{Present: true, Streams: float64(len(node.sessions) + node.pendingSetups), LinkLoad: -1, UplinkLoad: -1}
 	}
 	return orca.Load{Present: true, Streams: float64(len(node.sessions) + node.pendingSetups),
-		X0: node.demandKB() / node.linkKB(), X1: node.uplinkLoad}
+		LinkLoad: node.demandKB() / node.linkKB(), UplinkLoad: node.uplinkLoad}
 }
 
 // handleSetup runs a set-up, or refuses it, or fails as the injected faults say.
@@ -279,8 +279,8 @@
 	if node.recordColdSetup(now) && !node.crashed {
 		node.crashed = true
 		node.mu.Unlock()
-		if node.Fell != nil {
-			node.Fell()
+		if node.OnCrash != nil {
+			node.OnCrash()
 		}
 		node.Close()
 		return
@@ -289,7 +289,7 @@
 	switch {
 	case faults.Draining:
 		refusal = "draining"
-	case len(node.sessions)+node.pendingSetups >= node.config.Places:
+	case len(node.sessions)+node.pendingSetups >= node.config.MaxSessions:
 		refusal = "all places are taken"
 	case node.demandKB() >= node.linkKB():
 		refusal = "the link is full"
@@ -324,9 +324,9 @@
 	case <-r.Context().Done():
 		return
 	}
-	sleepMs(r.Context(), node.config.WorkMs*math.Max(faults.Slow, 1))
+	sleepMs(r.Context(), node.config.SetupWorkMs*math.Max(faults.Slowdown, 1))
 	<-node.setupSlots
-	if r.Context().Err() != nil && !faults.Lost {
+	if r.Context().Err() != nil && !faults.LoseAnswers {
 		return
 	}
 	playing := &session{name: name, director: r.PostForm.Get("director"), title: r.PostForm.Get("title"),
@@ -340,13 +340,13 @@
 	}
 	load := node.loadReport()
 	node.mu.Unlock()
-	if faults.AnswerMs > 0 {
-		sleepMs(r.Context(), faults.AnswerMs)
+	if faults.AnswerDelayMs > 0 {
+		sleepMs(r.Context(), faults.AnswerDelayMs)
 	}
 	w.Header().Set(orca.Header, load.Text())
 	w.Header().Set("Location", "http://"+node.Addr()+"/v/"+name+"/")
 	switch {
-	case faults.Lost:
+	case faults.LoseAnswers:
 		<-r.Context().Done()
 	case faults.TruncateAnswers:
 		if conn, buffered, err := http.NewResponseController(w).Hijack(); err == nil {
@@ -509,9 +509,9 @@
 				// The margins allow for a player that starts late, after its start-up, and
 				// still requests the end, or requests it again.
 				reason = "done"
-			case node.config.IdleMs > 0 && milliseconds(now.Sub(s.lastRequestAt)) > node.config.IdleMs:
+			case node.config.IdleTimeoutMs > 0 && milliseconds(now.Sub(s.lastRequestAt)) > node.config.IdleTimeoutMs:
 				reason = "idle"
-			case disconnected && milliseconds(now.Sub(disconnectedAt)) > node.config.OrphanMs:
+			case disconnected && milliseconds(now.Sub(disconnectedAt)) > node.config.OrphanTimeoutMs:
 				reason = "orphan"
 			}
 			if reason != "" {
@@ -524,9 +524,9 @@
 				firstSession[s.director] = name
 			}
 		}
-		load, delayMs := node.loadReport(), node.config.LateMs+node.faults.EventDelayMs
+		load, delayMs := node.loadReport(), node.config.LoadReportDelayMs+node.faults.EventDelayMs
 		share := node.bandwidthShare()
-		sendLoad := milliseconds(now.Sub(lastLoadEventAt)) >= node.config.TellMs && node.config.TellMs > 0
+		sendLoad := milliseconds(now.Sub(lastLoadEventAt)) >= node.config.LoadReportIntervalMs && node.config.LoadReportIntervalMs > 0
 		sendShare := milliseconds(now.Sub(lastShareEventAt)) >= 1000 && (share < 0.98 || node.reportedShortage)
 		if sendShare {
 			lastShareEventAt, node.reportedShortage = now, share < 0.98
@@ -534,7 +534,7 @@
 		if sendLoad {
 			lastLoadEventAt = now
 		}
-		sendLoad, sendShare = sendLoad && !node.config.Mute, sendShare && !node.config.Mute
+		sendLoad, sendShare = sendLoad && !node.config.OmitLinkLoad, sendShare && !node.config.OmitLinkLoad
 		for director, reports := range node.pendingReports {
 			var due, waiting []cmcdReport
 			for _, report := range reports {
@@ -562,18 +562,18 @@
 				node.sendEvent(director, "share", map[string]any{"session": name, "value": share}, delayMs)
 			}
 			if sendLoad {
-				node.sendEvent(director, "link", map[string]any{"session": name, "value": load.X0}, delayMs)
-				node.sendEvent(director, "uplink", map[string]any{"session": name, "value": load.X1}, delayMs)
+				node.sendEvent(director, "link", map[string]any{"session": name, "value": load.LinkLoad}, delayMs)
+				node.sendEvent(director, "uplink", map[string]any{"session": name, "value": load.UplinkLoad}, delayMs)
 			}
 		}
 		heartbeat, _ := json.Marshal(map[string]any{"addr": node.config.PublicAddr, "boot": node.bootID,
 			"cell": node.config.Cell, "rack": node.config.Rack, "kind": node.config.Kind, "zone": node.config.Zone,
 			"cold": node.config.Cold, "up_ms": milliseconds(now.Sub(node.startedAt)), "asked_kb": math.Min(node.demandKB(), node.linkKB())})
 		node.mu.Unlock()
-		if node.config.ListAddr == "" {
+		if node.config.DiscoveryAddr == "" {
 			continue
 		}
-		if resp, err := client.Post("http://"+node.config.ListAddr+"/beat", "application/json",
+		if resp, err := client.Post("http://"+node.config.DiscoveryAddr+"/beat", "application/json",
 			bytes.NewReader(heartbeat)); err == nil {
 			var rack struct {
 				Asked float64 `json:"rack_kb"`
@@ -614,7 +614,7 @@
 		raw = tokens[len(tokens)-1] // a player that supports Annex I of ISO/IEC 23009-1 appends the token again
 	}
 	node.mu.Lock()
-	claims, err := node.tokenChecker.Signed(raw)
+	claims, err := node.tokenChecker.VerifySignature(raw)
 	playing := node.sessions[r.PathValue("name")]
 	if err != nil {
 		node.mu.Unlock()
@@ -644,7 +644,7 @@
 		}
 	}
 	topRung := playing.rung
-	rateKBps, share, scale := node.sessionRateKB(playing), node.bandwidthShare(), node.config.Scale[playing.class]
+	rateKBps, share, scale := node.sessionRateKB(playing), node.bandwidthShare(), node.config.ClassScale[playing.class]
 	node.mu.Unlock()
 	if scale == 0 {
 		scale = 1
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -40,15 +40,15 @@
 
 // Stats counts the events of all viewers that share it.
 type Stats struct {
-	Requests    atomic.Int64 // requests for a manifest, duplicates not counted
-	Played      atomic.Int64 // answered with a manifest
-	Refused     atomic.Int64 // answered with 503
-	Failed      atomic.Int64 // answered with another 5xx, or with an invalid manifest
-	Broken      atomic.Int64 // sessions that ended before the viewer was done
-	Denied      atomic.Int64 // answered with any other status
-	Unreachable atomic.Int64 // not answered
-	Segments    atomic.Int64 // segments received
-	Stalled     atomic.Int64 // segments received later than their playing time
+	Requests       atomic.Int64 // requests for a manifest, duplicates not counted
+	Played         atomic.Int64 // answered with a manifest
+	Refused        atomic.Int64 // answered with 503
+	Failed         atomic.Int64 // answered with another 5xx, or with an invalid manifest
+	BrokenSessions atomic.Int64 // sessions that ended before the viewer was done
+	Denied         atomic.Int64 // answered with any other status
+	Unreachable    atomic.Int64 // not answered
+	Segments       atomic.Int64 // segments received
+	LateSegments   atomic.Int64 // segments received later than their playing time
 }
 
 // retryAfterCompliance is the share of refused viewers that wait for the time in Retry-After.
@@ -135,7 +135,7 @@
 			if finished {
 				return
 			}
-			stats.Broken.Add(1)
+			stats.BrokenSessions.Add(1)
 			// The broken session has run, so a retry needs a token for a new session.
 			token = request.Token()
 		case result.status == 503:
@@ -171,14 +171,14 @@
 // segment failed, or the director ended the session early.
 func playSegments(ctx context.Context, client *http.Client, url string, presentation *dash.Presentation,
 	end time.Time, request Request, stats *Stats, ended chan struct{}) bool {
-	rep, throughputKbps := len(presentation.Reps)-1, 0.0
+	rep, throughputKbps := len(presentation.Representations)-1, 0.0
 	starved := false
 	for i := 0; i < presentation.Segments(); i++ {
 		due := time.Now().Add(time.Duration(presentation.SegmentMs) * time.Millisecond)
 		if !time.Now().Before(end) || ctx.Err() != nil {
 			return true
 		}
-		cmcd := fmt.Sprintf("v=2,ts=%d,sn=%d,br=%.0f", time.Now().UnixMilli(), i, presentation.Reps[rep].KBps*8)
+		cmcd := fmt.Sprintf("v=2,ts=%d,sn=%d,br=%.0f", time.Now().UnixMilli(), i, presentation.Representations[rep].KBps*8)
 		if throughputKbps > 0 {
 			cmcd += fmt.Sprintf(",mtp=%.0f", throughputKbps)
 		}
@@ -188,7 +188,7 @@
 		requestedAt := time.Now()
 		maxKbps, err := fetchSegment(ctx, client, presentation.Media(rep, i)+"&CMCD="+neturl.QueryEscape(cmcd),
 			4*time.Duration(presentation.SegmentMs)*time.Millisecond)
-		throughputKbps = presentation.Reps[rep].KBps * presentation.SegmentMs * 8 /
+		throughputKbps = presentation.Representations[rep].KBps * presentation.SegmentMs * 8 /
 			float64(max(time.Since(requestedAt).Milliseconds(), 1))
 		starved = false
 		if err != nil {
@@ -196,21 +196,21 @@
 		}
 		stats.Segments.Add(1)
 		if time.Now().After(due) {
-			stats.Stalled.Add(1)
+			stats.LateSegments.Add(1)
 			starved = true
 		}
 		if maxKbps > 0 {
-			for rep > 0 && presentation.Reps[rep].KBps*8 > maxKbps+1 {
+			for rep > 0 && presentation.Representations[rep].KBps*8 > maxKbps+1 {
 				rep--
 			}
-			for rep+1 < len(presentation.Reps) && presentation.Reps[rep+1].KBps*8 <= maxKbps+1 {
+			for rep+1 < len(presentation.Representations) && presentation.Representations[rep+1].KBps*8 <= maxKbps+1 {
 				rep++
 			}
 			// The suggested rate is above the manifest's highest representation: the manifest is read again.
-			if presentation.Reps[len(presentation.Reps)-1].KBps*8 < maxKbps-1 {
+			if presentation.Representations[len(presentation.Representations)-1].KBps*8 < maxKbps-1 {
 				if reread := fetchManifest(ctx, client, url, request.GiveUp); reread.status == 200 {
-					if updated, err := dash.Parse(reread.body); err == nil && updated.Base == presentation.Base {
-						presentation, rep = updated, len(updated.Reps)-1
+					if updated, err := dash.Parse(reread.body); err == nil && updated.BaseURL == presentation.BaseURL {
+						presentation, rep = updated, len(updated.Representations)-1
 					}
 				}
 			}
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -16,22 +16,22 @@
 
 // Kinds of records. The client is the side that connected, the server the other.
 const (
-	Open     Kind = iota // a connection was opened
-	Forth                // data from the client
-	Back                 // data to the client
-	ForthEnd             // the client ended or reset its stream
-	BackEnd              // the server ended or reset its stream
-	Mark                 // an event of the rehearsal itself, in Text
+	Open       Kind = iota // a connection was opened
+	ClientData             // data from the client
+	ServerData             // data to the client
+	ClientEnd              // the client ended or reset its stream
+	ServerEnd              // the server ended or reset its stream
+	Mark                   // an event of the rehearsal itself, in Text
 )
 
 // Record is one recorded event.
 type Record struct {
-	Kind Kind
-	AtMs float64 // since the log's start
-	Tap  string  // name of the relay
-	Conn int     // number of the connection, unique in the log; 0 for Mark
-	Data []byte  // for Forth and Back
-	Text string  // for Mark
+	Kind  Kind
+	AtMs  float64 // since the log's start
+	Relay string  // name of the relay
+	Conn  int     // number of the connection, unique in the log; 0 for Mark
+	Data  []byte  // for Forth and Back
+	Text  string  // for Mark
 }
 
 // Log collects the records of all relays in the order in which they happened.
@@ -57,7 +57,7 @@
 }
 
 // Mark records an event of the rehearsal itself, such as the start of a process.
-func (l *Log) Mark(relay, text string) { l.add(Record{Kind: Mark, Tap: relay, Text: text}) }
+func (l *Log) Mark(relay, text string) { l.add(Record{Kind: Mark, Relay: relay, Text: text}) }
 
 // Records returns a copy of the records so far.
 func (l *Log) Records() []Record {
@@ -207,12 +207,12 @@
 	r.mu.Lock()
 	r.connections[client], r.connections[server] = true, true
 	r.mu.Unlock()
-	r.log.add(Record{Kind: Open, Tap: r.Name, Conn: id})
+	r.log.add(Record{Kind: Open, Relay: r.Name, Conn: id})
 	var wg sync.WaitGroup
 	wg.Add(2)
 	var clientBytes, serverBytes atomic.Int64
-	go func() { defer wg.Done(); r.forward(id, client, server, Forth, &clientBytes) }()
-	go func() { defer wg.Done(); r.forward(id, server, client, Back, &serverBytes) }()
+	go func() { defer wg.Done(); r.forward(id, client, server, ClientData, &clientBytes) }()
+	go func() { defer wg.Done(); r.forward(id, server, client, ServerData, &serverBytes) }()
 	wg.Wait()
 	r.mu.Lock()
 	delete(r.connections, client)
@@ -224,9 +224,9 @@
 // it is about to be written to the client. Reading goes on during a stall, so that the end of a side is recorded when
 // it happens.
 func (r *Relay) forward(id int, from, to net.Conn, direction Kind, passed *atomic.Int64) {
-	end := ForthEnd
-	if direction == Back {
-		end = BackEnd
+	end := ClientEnd
+	if direction == ServerData {
+		end = ServerEnd
 	}
 	chunks := make(chan []byte, 1024)
 	go func() {
@@ -235,14 +235,14 @@
 			buffer := make([]byte, 16<<10)
 			n, err := from.Read(buffer)
 			if n > 0 {
-				if direction == Forth && !r.skipData {
-					r.log.add(Record{Kind: direction, Tap: r.Name, Conn: id, Data: buffer[:n]})
+				if direction == ClientData && !r.skipData {
+					r.log.add(Record{Kind: direction, Relay: r.Name, Conn: id, Data: buffer[:n]})
 				}
 				chunks <- buffer[:n]
 			}
 			if err != nil {
-				if direction == Forth {
-					r.log.add(Record{Kind: end, Tap: r.Name, Conn: id})
+				if direction == ClientData {
+					r.log.add(Record{Kind: end, Relay: r.Name, Conn: id})
 				}
 				return
 			}
@@ -254,7 +254,7 @@
 			continue
 		}
 		faults, changed := r.currentFaults()
-		for faults.Stall || faults.StallAnswers && direction == Back {
+		for faults.Stall || faults.StallAnswers && direction == ServerData {
 			<-changed
 			faults, changed = r.currentFaults()
 		}
@@ -264,15 +264,15 @@
 		before := int(passed.Load())
 		passed.Add(int64(len(chunk)))
 		limit := faults.ResetAfterRequestBytes
-		if direction == Back {
+		if direction == ServerData {
 			limit = faults.ResetAfterAnswerBytes
 		}
 		reset := limit > 0 && before+len(chunk) >= limit
 		if reset {
 			chunk = chunk[:max(limit-before, 0)]
 		}
-		if direction == Back && !r.skipData && len(chunk) > 0 {
-			r.log.add(Record{Kind: direction, Tap: r.Name, Conn: id, Data: chunk})
+		if direction == ServerData && !r.skipData && len(chunk) > 0 {
+			r.log.add(Record{Kind: direction, Relay: r.Name, Conn: id, Data: chunk})
 		}
 		_, err := to.Write(chunk)
 		if reset {
@@ -285,8 +285,8 @@
 	for faults, changed := r.currentFaults(); faults.Stall; faults, changed = r.currentFaults() {
 		<-changed
 	}
-	if direction == Back {
-		r.log.add(Record{Kind: end, Tap: r.Name, Conn: id})
+	if direction == ServerData {
+		r.log.add(Record{Kind: end, Relay: r.Name, Conn: id})
 	}
 	to.Close()
 	from.Close()
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -101,10 +101,10 @@
 	}
 	conn.Close()
 	waitFor(t, "both ends are recorded", func() bool {
-		return countRecords(log, ForthEnd) == 1 && countRecords(log, BackEnd) == 1
+		return countRecords(log, ClientEnd) == 1 && countRecords(log, ServerEnd) == 1
 	})
-	if recordedData(log, Forth) != "ab" || recordedData(log, Back) != "a+b+" {
-		t.Fatalf("recorded %q forth and %q back", recordedData(log, Forth), recordedData(log, Back))
+	if recordedData(log, ClientData) != "ab" || recordedData(log, ServerData) != "a+b+" {
+		t.Fatalf("recorded %q forth and %q back", recordedData(log, ClientData), recordedData(log, ServerData))
 	}
 	last := 0.0
 	for _, record := range log.Records() {
@@ -121,7 +121,7 @@
 	conn := dialRelay(t, relay)
 	relay.SetFaults(Faults{StallAnswers: true})
 	conn.Write([]byte("a"))
-	waitFor(t, "the request is recorded", func() bool { return recordedData(log, Forth) == "a" })
+	waitFor(t, "the request is recorded", func() bool { return recordedData(log, ClientData) == "a" })
 	conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Fatal("an answer passed the stall")
@@ -136,7 +136,7 @@
 	relay.SetFaults(Faults{Stall: true})
 	conn.Write([]byte("b"))
 	conn.Close()
-	waitFor(t, "the end is recorded during the stall", func() bool { return countRecords(log, ForthEnd) == 1 })
+	waitFor(t, "the end is recorded during the stall", func() bool { return countRecords(log, ClientEnd) == 1 })
 }
 
 // A connection is reset after the given number of bytes, and exactly those are recorded as sent to the client.
@@ -152,8 +152,8 @@
 		if err == nil && len(answer) == 8 {
 			t.Errorf("%s: connection was not reset", name)
 		}
-		if faults.ResetAfterAnswerBytes > 0 && recordedData(log, Back) != "a+b" {
-			t.Errorf("%s: %q was sent to the client, want three bytes", name, recordedData(log, Back))
+		if faults.ResetAfterAnswerBytes > 0 && recordedData(log, ServerData) != "a+b" {
+			t.Errorf("%s: %q was sent to the client, want three bytes", name, recordedData(log, ServerData))
 		}
 	}
 }
--- a/internal/standin/scenario/run.go
+++ b/internal/standin/scenario/run.go
@@ -33,11 +33,11 @@
 
 // Run plays one rehearsal.
 type Run struct {
-	Script *Script
-	Exe    string                           // path of the headmill executable
-	Dir    string                           // folder for settings, keys and logs
-	Edit   func(*cluster.Spec)              // changes the fleet before it starts; nil: none
-	Say    func(format string, args ...any) // prints progress; nil: nothing is printed
+	Script   *Script
+	Exe      string                           // path of the headmill executable
+	Dir      string                           // folder for settings, keys and logs
+	EditSpec func(*cluster.Spec)              // changes the fleet before it starts; nil: none
+	Printf   func(format string, args ...any) // prints progress; nil: nothing is printed
 
 	fleet         *cluster.Cluster
 	mu            sync.Mutex
@@ -58,25 +58,25 @@
 // Play runs the script to its end and returns the audit report on what the relays recorded.
 func (r *Run) Play() (*audit.Report, error) {
 	script := r.Script
-	spec := cluster.Small(script.Directors, script.Boxes, script.Titles, script.LifeS*1000)
-	spec.Exe, spec.Dir, spec.Relays = r.Exe, r.Dir, true
+	spec := cluster.SmallSpec(script.Directors, script.Nodes, script.Titles, script.TitleDurationS*1000)
+	spec.Executable, spec.Dir, spec.Relays = r.Exe, r.Dir, true
 	spec.Base.Attempts.MaxRetryAfterMs = script.MaxRetryAfterS * 1000
-	spec.Base.Admission.PassAll = script.Gate == "off"
+	spec.Base.Admission.AdmitAll = script.AdmissionControl == "off"
 	spec.Base.Tenants = []config.Tenant{{Name: tenants[0], Share: 0.7}, {Name: tenants[1], Share: 0.3}}
 	if script.CapacityFactor > 0 {
-		fleet, node := &spec.Base.Fleet, &spec.Box
+		fleet, node := &spec.Base.Fleet, &spec.NodeConfig
 		fleet.TotalLinkKB, fleet.UplinkKB, node.LinkKB, node.UplinkKB =
 			fleet.TotalLinkKB*script.CapacityFactor, fleet.UplinkKB*script.CapacityFactor,
 			node.LinkKB*script.CapacityFactor, node.UplinkKB*script.CapacityFactor
-		node.Places = int(math.Round(float64(node.Places) * script.CapacityFactor))
-		fleet.StreamsByKind = []int{node.Places}
+		node.MaxSessions = int(math.Round(float64(node.MaxSessions) * script.CapacityFactor))
+		fleet.StreamsByKind = []int{node.MaxSessions}
 	}
 	if err := errors.Join(applyOverrides(&spec.Base, script.DirectorSettings),
-		applyOverrides(&spec.Box, script.NodeSettings)); err != nil {
+		applyOverrides(&spec.NodeConfig, script.NodeSettings)); err != nil {
 		return nil, err
 	}
-	if r.Edit != nil {
-		r.Edit(&spec)
+	if r.EditSpec != nil {
+		r.EditSpec(&spec)
 	}
 	fleet, err := cluster.New(spec)
 	if err != nil {
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	r.fleet, r.nodeFaults, r.restarting, r.rateFactor =
-		fleet, make([]medianode.Faults, script.Boxes), map[int]bool{}, 1
+		fleet, make([]medianode.Faults, script.Nodes), map[int]bool{}, 1
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	startedAt := time.Now()
@@ -100,8 +100,8 @@
 		go func() {
 			defer wg.Done()
 			time.Sleep(time.Until(startedAt.Add(secondsDuration(trouble.AtS))))
-			r.printf("%5.1f s  %s on %s for %.0f s", time.Since(startedAt).Seconds(), trouble.Name,
-				targetNames(trouble, targets), trouble.LenS)
+			r.logf("%5.1f s  %s on %s for %.0f s", time.Since(startedAt).Seconds(), trouble.Name,
+				targetNames(trouble, targets), trouble.DurationS)
 			r.playTrouble(trouble, targets)
 		}()
 	}
@@ -109,7 +109,7 @@
 	r.floodRand, r.viewerRand = rand.New(rand.NewPCG(script.Seed, 17)), rand.New(rand.NewPCG(script.Seed, 13))
 	r.generateViewers(startedAt)
 	wg.Wait()
-	r.printf("%5.1f s  no more viewers; waiting for those who watch", time.Since(startedAt).Seconds())
+	r.logf("%5.1f s  no more viewers; waiting for those who watch", time.Since(startedAt).Seconds())
 	r.activeViewers.Wait()
 	for _, director := range fleet.Directors {
 		if director.Proc.Alive() {
@@ -117,13 +117,13 @@
 		}
 	}
 	time.Sleep(300 * time.Millisecond) // the last events must pass the relays
-	return audit.Judge(fleet.Log.Records(), AuditTerms(fleet)), nil
+	return audit.Verify(fleet.Log.Records(), AuditTerms(fleet)), nil
 }
 
 // printf prints a line of progress.
-func (r *Run) printf(format string, args ...any) {
-	if r.Say != nil {
-		r.Say(format, args...)
+func (r *Run) logf(format string, args ...any) {
+	if r.Printf != nil {
+		r.Printf(format, args...)
 	}
 }
 
@@ -148,7 +148,7 @@
 // pickTargets selects the media nodes or directors that a trouble affects; the same seed selects the same ones. The
 // draw takes place even if the script names the targets, so that they do not change the draws for later troubles.
 func (r *Run) pickTargets(trouble Trouble, rng *rand.Rand) []int {
-	candidates := r.Script.Boxes
+	candidates := r.Script.Nodes
 	if affectsDirectors[trouble.Name] {
 		candidates = r.Script.Directors
 	}
@@ -171,8 +171,8 @@
 	change(&r.nodeFaults[index])
 	faults := r.nodeFaults[index]
 	r.mu.Unlock()
-	if err := r.fleet.SetFaults(r.fleet.Boxes[index], faults); err != nil {
-		r.printf("b%d: fault not set: %v", index, err)
+	if err := r.fleet.SetFaults(r.fleet.Nodes[index], faults); err != nil {
+		r.logf("b%d: fault not set: %v", index, err)
 	}
 }
 
@@ -190,7 +190,7 @@
 
 // playTrouble injects a trouble into its targets, waits for its length and removes it.
 func (r *Run) playTrouble(trouble Trouble, targets []int) {
-	wait := func() { time.Sleep(secondsDuration(trouble.LenS)) }
+	wait := func() { time.Sleep(secondsDuration(trouble.DurationS)) }
 	apply := func(begin, end func(f *medianode.Faults)) {
 		for _, i := range targets {
 			r.changeNodeFaults(i, begin)
@@ -202,15 +202,15 @@
 	}
 	switch trouble.Name {
 	case "slow":
-		apply(func(f *medianode.Faults) { f.Slow = trouble.Magnitude }, func(f *medianode.Faults) { f.Slow = 0 })
+		apply(func(f *medianode.Faults) { f.Slowdown = trouble.Magnitude }, func(f *medianode.Faults) { f.Slowdown = 0 })
 	case "origin_slow": // affects the uplinks of the targets' racks, so all nodes of those racks
 		racks := map[int]bool{}
 		for _, i := range targets {
-			racks[r.fleet.Boxes[i].Box.Rack] = true
+			racks[r.fleet.Nodes[i].NodeConfig.Rack] = true
 		}
 		targets = targets[:0:0]
-		for i, node := range r.fleet.Boxes {
-			if racks[node.Box.Rack] {
+		for i, node := range r.fleet.Nodes {
+			if racks[node.NodeConfig.Rack] {
 				targets = append(targets, i)
 			}
 		}
@@ -222,7 +222,7 @@
 	case "hang":
 		apply(func(f *medianode.Faults) { f.Hang = true }, func(f *medianode.Faults) { f.Hang = false })
 	case "answer_lost":
-		apply(func(f *medianode.Faults) { f.Lost = true }, func(f *medianode.Faults) { f.Lost = false })
+		apply(func(f *medianode.Faults) { f.LoseAnswers = true }, func(f *medianode.Faults) { f.LoseAnswers = false })
 	case "report_late":
 		apply(func(f *medianode.Faults) { f.EventDelayMs = trouble.Magnitude * 1000 },
 			func(f *medianode.Faults) { f.EventDelayMs = 0 })
@@ -231,18 +231,18 @@
 		wait()
 		r.setRateFactor(1)
 	case "retry_flood": // viewers of the second tenant that retry every 100 ms, whatever Retry-After says
-		end := time.Now().Add(secondsDuration(trouble.LenS))
+		end := time.Now().Add(secondsDuration(trouble.DurationS))
 		for at := time.Now(); at.Before(end); at = at.Add(time.Duration(float64(time.Second) / trouble.Magnitude)) {
 			time.Sleep(time.Until(at))
 			r.startViewer(r.floodRand, func(request *player.Request) { request.IgnoreRetryAfter = true }, 1)
 		}
 	case "drain":
 		for _, i := range targets {
-			r.fleet.Discovery.Drain(r.fleet.Boxes[i].Box.PublicAddr, true)
+			r.fleet.Discovery.Drain(r.fleet.Nodes[i].NodeConfig.PublicAddr, true)
 		}
 		wait()
 		for _, i := range targets {
-			r.fleet.Discovery.Drain(r.fleet.Boxes[i].Box.PublicAddr, false)
+			r.fleet.Discovery.Drain(r.fleet.Nodes[i].NodeConfig.PublicAddr, false)
 		}
 	case "crash", "cold_start", "vanish":
 		var wg sync.WaitGroup
@@ -254,7 +254,7 @@
 			go func() {
 				defer wg.Done()
 				defer r.claimNode(i, false)
-				r.restartNode(trouble, r.fleet.Boxes[i])
+				r.restartNode(trouble, r.fleet.Nodes[i])
 				r.changeNodeFaults(i, func(f *medianode.Faults) { *f = medianode.Faults{} })
 			}()
 		}
@@ -271,7 +271,7 @@
 		for _, i := range targets {
 			director := r.fleet.Directors[i]
 			if err := r.fleet.StartDirector(director, false); err != nil {
-				r.printf("%s: %v", director.Name, err)
+				r.logf("%s: %v", director.Name, err)
 				continue
 			}
 			r.fleet.Log.Mark(director.Name, "started")
@@ -288,17 +288,17 @@
 		r.fleet.Log.Mark(node.Name, "vanished")
 		node.Relay.SetFaults(relay.Faults{Stall: true})
 		node.Proc.Kill()
-		time.Sleep(secondsDuration(trouble.LenS))
+		time.Sleep(secondsDuration(trouble.DurationS))
 		node.Relay.Refuse(true)
 		node.Relay.SetFaults(relay.Faults{})
 	} else {
 		r.fleet.Log.Mark(node.Name, "killed")
 		node.Proc.Kill()
 		node.Relay.Refuse(true)
-		time.Sleep(secondsDuration(trouble.LenS))
+		time.Sleep(secondsDuration(trouble.DurationS))
 	}
-	if err := r.fleet.StartBox(node, true); err != nil {
-		r.printf("%s: %v", node.Name, err)
+	if err := r.fleet.StartNode(node, true); err != nil {
+		r.logf("%s: %v", node.Name, err)
 		return
 	}
 	r.fleet.Log.Mark(node.Name, "started")
@@ -364,7 +364,7 @@
 		Token: func() string {
 			attempts++
 			now := time.Now()
-			signed, err := fleet.Key.Mint(token.Claims{Title: title.Name, Class: title.Class, Tenant: tenants[tenant],
+			signed, err := fleet.Key.Sign(token.Claims{Title: title.Name, Class: title.Class, Tenant: tenants[tenant],
 				MaxRung: maxRung,
 				RegisteredClaims: jwt.RegisteredClaims{Subject: viewer, ID: fmt.Sprintf("%s-%d", viewer, attempts),
 					IssuedAt: jwt.NewNumericDate(now), ExpiresAt: jwt.NewNumericDate(now.Add(10 * time.Minute))}})
@@ -419,11 +419,11 @@
 	return out, nil
 }
 
-// RackOf returns the rack of the media node with the given address; -1 if there is none.
-func (r *Run) RackOf(addr string) int {
-	for _, node := range r.fleet.Boxes {
-		if node.Box.PublicAddr == addr {
-			return node.Box.Rack
+// RackOfNode returns the rack of the media node with the given address; -1 if there is none.
+func (r *Run) RackOfNode(addr string) int {
+	for _, node := range r.fleet.Nodes {
+		if node.NodeConfig.PublicAddr == addr {
+			return node.NodeConfig.Rack
 		}
 	}
 	return -1
@@ -432,19 +432,19 @@
 // AuditTerms returns the terms of service that the auditor checks the fleet against. They come from the fleet's
 // specification, not from any director's view.
 func AuditTerms(fleet *cluster.Cluster) audit.Terms {
-	settings, node := &fleet.Spec.Base, &fleet.Spec.Box
-	terms := audit.Terms{Classes: map[string]audit.Class{}, Titles: map[string]audit.Title{}, Boxes: map[string]string{},
-		Worth: settings.Ladder.Worth, SlackMs: 40, GraceMs: 250, Places: float64(node.Places), WarmMs: node.WarmUpMs,
-		ColdFrom: node.ColdRateFraction, Factor: node.OverloadFactor, TipMs: node.OverloadWindowMs, Shortfall: 6}
+	settings, node := &fleet.Spec.Base, &fleet.Spec.NodeConfig
+	terms := audit.Terms{Classes: map[string]audit.Class{}, Titles: map[string]audit.Title{}, Nodes: map[string]string{},
+		Worth: settings.Ladder.Worth, SlackMs: 40, GraceMs: 250, StreamsPerNode: float64(node.MaxSessions), WarmUpMs: node.WarmUpMs,
+		ColdRateFraction: node.ColdRateFraction, ColdOverloadFactor: node.OverloadFactor, ColdWindowMs: node.OverloadWindowMs, ShortfallPenalty: 6}
 	for _, class := range settings.Classes {
 		terms.Classes[class.Name] = audit.Class{AtMostOnce: class.Semantics == "once", TargetMs: class.TargetMs,
-			GiveUpMs: class.GiveUpMs, Value: class.Value, Floor: class.MinRung, Seats: class.MaxPerTitle}
+			GiveUpMs: class.GiveUpMs, Value: class.Value, MinRung: class.MinRung, MaxPerTitle: class.MaxPerTitle}
 	}
 	for _, title := range settings.Titles {
 		terms.Titles[title.Name] = audit.Title{Class: title.Class, DurationMs: title.DurationMs}
 	}
-	for _, node := range fleet.Boxes {
-		terms.Boxes[node.Box.PublicAddr] = node.Name
+	for _, node := range fleet.Nodes {
+		terms.Nodes[node.NodeConfig.PublicAddr] = node.Name
 	}
 	return terms
 }
--- a/internal/standin/scenario/script.go
+++ b/internal/standin/scenario/script.go
@@ -19,14 +19,14 @@
 	Seconds            float64        `toml:"seconds"` // length of the day
 	Rate               float64        `toml:"rate"`    // new viewers per second
 	Directors          int            `toml:"directors"`
-	Boxes              int            `toml:"boxes"` // media nodes
+	Nodes              int            `toml:"boxes"` // media nodes
 	Titles             int            `toml:"titles"`
-	LifeS              float64        `toml:"life_s"` // duration of the shortest titles
+	TitleDurationS     float64        `toml:"life_s"` // duration of the shortest titles
 	Seed               uint64         `toml:"seed"`
 	DuplicateFraction  float64        `toml:"double"`   // share of viewers that send their first request twice
 	SessionAPIFraction float64        `toml:"socket"`   // share of viewers that use the session API
 	MaxRetryAfterS     float64        `toml:"advice_s"` // longest Retry-After of a refusal
-	Gate               string         `toml:"gate"`     // "off": admission control passes all requests, for comparison
+	AdmissionControl   string         `toml:"gate"`     // "off": admission control passes all requests, for comparison
 	CapacityFactor     float64        `toml:"room"`     // factor on the nodes' links, uplinks and session limits; 0: unchanged
 	OnlyTenant         string         `toml:"only"`     // if set, only viewers of this tenant come
 	DirectorSettings   map[string]any `toml:"settings"` // overrides of the directors' settings, under their keys
@@ -53,7 +53,7 @@
 type Trouble struct {
 	Name      string  `toml:"name"`
 	AtS       float64 `toml:"at_s"`  // begin, since the start
-	LenS      float64 `toml:"len_s"` // length
+	DurationS float64 `toml:"len_s"` // length
 	Fraction  float64 `toml:"part"`  // share of media nodes or directors that are affected, at least one
 	Magnitude float64 `toml:"size"`  // strength; its meaning depends on the trouble
 	Extra     float64 `toml:"extra"` // accepted and not used
@@ -154,7 +154,7 @@
 // Parse reads a script. A script without seconds, rate, directors, boxes, titles, life_s or seed has those of the
 // built-in script, and advice_s is 1 by default; all other keys, and the troubles, are zero or empty if left out.
 func Parse(text string) (*Script, error) {
-	script := Script{Seconds: 30, Rate: 30, Directors: 2, Boxes: 8, Titles: 9, LifeS: 9, Seed: 1, MaxRetryAfterS: 1}
+	script := Script{Seconds: 30, Rate: 30, Directors: 2, Nodes: 8, Titles: 9, TitleDurationS: 9, Seed: 1, MaxRetryAfterS: 1}
 	decoder := toml.NewDecoder(bytes.NewReader([]byte(text))).DisallowUnknownFields()
 	if err := decoder.Decode(&script); err != nil {
 		var unknownKeys *toml.StrictMissingError
@@ -168,8 +168,8 @@
 		}
 		return nil, fmt.Errorf("script: %w", err)
 	}
-	if script.Seconds <= 0 || script.Rate <= 0 || script.Directors < 1 || script.Boxes < 3 || script.Titles < 1 ||
-		script.LifeS <= 0 {
+	if script.Seconds <= 0 || script.Rate <= 0 || script.Directors < 1 || script.Nodes < 3 || script.Titles < 1 ||
+		script.TitleDurationS <= 0 {
 		return nil, errors.New("script: seconds, rate, titles and life_s must be positive, directors at least 1 and boxes at least 3")
 	}
 	for i, trouble := range script.Troubles {
@@ -179,7 +179,7 @@
 			}
 			return nil, fmt.Errorf("script: trouble %d: unknown name %q", i+1, trouble.Name)
 		}
-		if trouble.AtS < 0 || trouble.LenS <= 0 || trouble.Fraction < 0 || trouble.Fraction > 1 {
+		if trouble.AtS < 0 || trouble.DurationS <= 0 || trouble.Fraction < 0 || trouble.Fraction > 1 {
 			return nil, fmt.Errorf("script: trouble %d (%s): at_s must be at least 0, len_s positive and part from 0 to 1",
 				i+1, trouble.Name)
 		}
@@ -187,7 +187,7 @@
 			trouble.Name) && trouble.Magnitude <= 0 {
 			return nil, fmt.Errorf("script: trouble %d (%s): size must be positive", i+1, trouble.Name)
 		}
-		limit := script.Boxes
+		limit := script.Nodes
 		if affectsDirectors[trouble.Name] {
 			limit = script.Directors
 		}
@@ -207,7 +207,7 @@
 		names = append(names, trouble.Name)
 	}
 	return fmt.Sprintf("%.0f s, %.0f viewers/s, %d directors, %d boxes, seed %d: %s", s.Seconds, s.Rate, s.Directors,
-		s.Boxes, s.Seed, strings.Join(names, ", "))
+		s.Nodes, s.Seed, strings.Join(names, ", "))
 }
 
 // Cut sets the length of the day. Troubles that would begin after its end are removed, and the others end with it at
@@ -216,6 +216,6 @@
 	s.Seconds = seconds
 	s.Troubles = slices.DeleteFunc(s.Troubles, func(t Trouble) bool { return t.AtS >= seconds })
 	for i := range s.Troubles {
-		s.Troubles[i].LenS = min(s.Troubles[i].LenS, seconds-s.Troubles[i].AtS)
+		s.Troubles[i].DurationS = min(s.Troubles[i].DurationS, seconds-s.Troubles[i].AtS)
 	}
 }
--- a/internal/token/pool.go
+++ b/internal/token/pool.go
@@ -42,9 +42,9 @@
 	p.wg.Wait()
 }
 
-// Begin verifies the signature of a token, from the cache at once or in the pool. done is called on the owner's
+// VerifyAsync verifies the signature of a token, from the cache at once or in the pool. done is called on the owner's
 // goroutine, possibly within this call. Begin returns false if the pool's queue is full.
-func (c *Checker) Begin(p *Pool, raw string, done func(*Claims, error)) bool {
+func (c *Checker) VerifyAsync(p *Pool, raw string, done func(*Claims, error)) bool {
 	if claims := c.cached(raw); claims != nil {
 		done(claims, nil)
 		return true
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -145,8 +145,8 @@
 	return Key{KID: kid, Public: private.Public().(ed25519.PublicKey), Private: private}
 }
 
-// Mint validates the claims and returns them as a signed token.
-func (k Key) Mint(c Claims) (string, error) {
+// Sign validates the claims and returns them as a signed token.
+func (k Key) Sign(c Claims) (string, error) {
 	if k.Private == nil {
 		return "", fmt.Errorf("token: key %q has no private part", k.KID)
 	}
@@ -196,19 +196,19 @@
 // Check returns the claims of a raw token that is valid at now. The claims are shared with the cache and must not be
 // modified.
 func (c *Checker) Check(raw string, now time.Time) (*Claims, error) {
-	claims, err := c.Signed(raw)
+	claims, err := c.VerifySignature(raw)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.Valid(claims, now); err != nil {
+	if err := c.CheckTimes(claims, now); err != nil {
 		return nil, err
 	}
 	return claims, nil
 }
 
-// Valid checks exp, nbf and iat of claims whose signature has been verified against now. iat may lie up to a minute
+// CheckTimes checks exp, nbf and iat of claims whose signature has been verified against now. iat may lie up to a minute
 // plus the leeway in the future.
-func (c *Checker) Valid(claims *Claims, now time.Time) error {
+func (c *Checker) CheckTimes(claims *Claims, now time.Time) error {
 	switch {
 	case !now.Before(claims.ExpiresAt.Add(c.leeway)):
 		return fmt.Errorf("%w: at %s", ErrExpired, claims.ExpiresAt.UTC().Format(time.RFC3339))
@@ -219,8 +219,8 @@
 	return nil
 }
 
-// Signed returns the claims of a token whose signature is valid, without checking its times.
-func (c *Checker) Signed(raw string) (*Claims, error) {
+// VerifySignature returns the claims of a token whose signature is valid, without checking its times.
+func (c *Checker) VerifySignature(raw string) (*Claims, error) {
 	if claims := c.cached(raw); claims != nil {
 		return claims, nil
 	}
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -20,11 +20,11 @@
 func TestCheck(t *testing.T) {
 	now := time.Now()
 	a, b := testKey("a", 1), testKey("b", 2)
-	raw, err := a.Mint(testClaims(now))
+	raw, err := a.Sign(testClaims(now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	byB, _ := b.Mint(testClaims(now))
+	byB, _ := b.Sign(testClaims(now))
 	swapped := raw[:strings.LastIndexByte(raw, '.')] + byB[strings.LastIndexByte(byB, '.'):]
 	unsigned := jwt.NewWithClaims(jwt.SigningMethodNone, &Claims{})
 	unsigned.Header["kid"] = "a"
@@ -38,9 +38,9 @@
 	rawNoJTI, _ := noJTI.SignedString(a.Private)
 	early := testClaims(now)
 	early.NotBefore = jwt.NewNumericDate(now.Add(time.Minute))
-	rawNotBefore, _ := a.Mint(early)
+	rawNotBefore, _ := a.Sign(early)
 	future := testClaims(now.Add(time.Hour))
-	rawIssuedLater, _ := a.Mint(future)
+	rawIssuedLater, _ := a.Sign(future)
 	c := NewChecker([]Key{a}, 8, time.Second)
 	for name, x := range map[string]struct {
 		raw string
@@ -88,10 +88,10 @@
 	defer p.Close()
 	fresh := NewChecker(nil, 4, c.leeway)
 	fresh.keys = c.keys
-	fresh.Begin(p, raw, func(k *Claims, err error) { ch <- result{k, err} })
+	fresh.VerifyAsync(p, raw, func(k *Claims, err error) { ch <- result{k, err} })
 	r := <-ch
 	if r.err == nil {
-		if r.err = fresh.Valid(r.claims, now); r.err != nil {
+		if r.err = fresh.CheckTimes(r.claims, now); r.err != nil {
 			r.claims = nil
 		}
 	}
@@ -102,13 +102,13 @@
 func TestPoolKeyRemovalAndFullQueue(t *testing.T) {
 	now := time.Now()
 	a := testKey("a", 1)
-	raw, _ := a.Mint(testClaims(now))
+	raw, _ := a.Sign(testClaims(now))
 	c := NewChecker([]Key{a}, 8, 0)
 	var posted []func()
 	callbacks := make(chan func(), 8)
 	p := NewPool(1, 1, func(f func()) { callbacks <- f })
 	var got error
-	if !c.Begin(p, raw, func(_ *Claims, err error) { got = err }) {
+	if !c.VerifyAsync(p, raw, func(_ *Claims, err error) { got = err }) {
 		t.Fatal("Begin reported a full queue, but it is empty")
 	}
 	posted = append(posted, <-callbacks)
@@ -119,7 +119,7 @@
 	}
 	p.Close()
 	noWorkers := &Pool{jobs: make(chan job, 1)} // no worker
-	if !c.Begin(noWorkers, raw, nil) || c.Begin(noWorkers, raw, nil) {
+	if !c.VerifyAsync(noWorkers, raw, nil) || c.VerifyAsync(noWorkers, raw, nil) {
 		t.Error("a queue of one accepted none, or two")
 	}
 }
@@ -127,8 +127,8 @@
 func TestRotation(t *testing.T) {
 	now := time.Now()
 	a, b := testKey("a", 1), testKey("b", 2)
-	rawA, _ := a.Mint(testClaims(now))
-	rawB, _ := b.Mint(testClaims(now))
+	rawA, _ := a.Sign(testClaims(now))
+	rawB, _ := b.Sign(testClaims(now))
 	c := NewChecker([]Key{a, b}, 8, 0)
 	for _, raw := range []string{rawA, rawB} {
 		if _, err := c.Check(raw, now); err != nil {
@@ -151,7 +151,7 @@
 	for i := range 40 {
 		x := testClaims(now)
 		x.ID = strings.Repeat("j", i+1)
-		raw, _ := a.Mint(x)
+		raw, _ := a.Sign(x)
 		if _, err := c.Check(raw, now); err != nil {
 			t.Fatal(err)
 		}
@@ -172,7 +172,7 @@
 		t.Fatal("the private part is in the public set")
 	}
 	got, _ = ParseKeys(public)
-	if _, err := got[0].Mint(testClaims(time.Now())); err == nil {
+	if _, err := got[0].Sign(testClaims(time.Now())); err == nil {
 		t.Error("signed without a private key")
 	}
 	for name, text := range map[string]string{
@@ -193,7 +193,7 @@
 func FuzzCheck(f *testing.F) {
 	a := testKey("a", 1)
 	// A fixed time, since the fuzzer's worker processes create the token again.
-	raw, _ := a.Mint(testClaims(time.Unix(1.8e9, 0)))
+	raw, _ := a.Sign(testClaims(time.Unix(1.8e9, 0)))
 	f.Add(raw)
 	f.Add("..")
 	f.Add("eyJhbGciOiJub25lIn0.e30.")
@@ -208,7 +208,7 @@
 
 func BenchmarkCheckUncached(b *testing.B) {
 	a := testKey("a", 1)
-	raw, _ := a.Mint(testClaims(time.Now()))
+	raw, _ := a.Sign(testClaims(time.Now()))
 	c := NewChecker([]Key{a}, 8, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -221,7 +221,7 @@
 
 func BenchmarkCheckCached(b *testing.B) {
 	a := testKey("a", 1)
-	raw, _ := a.Mint(testClaims(time.Now()))
+	raw, _ := a.Sign(testClaims(time.Now()))
 	c := NewChecker([]Key{a}, 8, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -91,34 +91,34 @@
 	return err
 }
 
-// Story is the trace of one session. All methods of a nil Story do nothing.
-type Story struct {
+// SessionTrace is the trace of one session. All methods of a nil Story do nothing.
+type SessionTrace struct {
 	tracer        *Tracer
 	ctx           context.Context
 	root, attempt oteltrace.Span // nil where none is open
 	play          oteltrace.Span // nil where none is open
 }
 
-// Begin starts the trace of a session; nil if the session is not sampled.
-func (t *Tracer) Begin(jti string, attrs ...attribute.KeyValue) *Story {
+// StartSession starts the trace of a session; nil if the session is not sampled.
+func (t *Tracer) StartSession(jti string, attrs ...attribute.KeyValue) *SessionTrace {
 	if t == nil || t.sampleBelow < math.MaxUint64 && xxhash.Sum64String(jti) >= t.sampleBelow {
 		return nil
 	}
-	s := &Story{tracer: t}
+	s := &SessionTrace{tracer: t}
 	s.ctx, s.root = t.tracer.Start(context.WithValue(context.Background(), jtiKey{}, jti), "session",
 		oteltrace.WithAttributes(append(attrs, attribute.String("jti", jti), attribute.String("director", t.director))...))
 	return s
 }
 
-// Attempt starts the span of an attempt. Settle ends it.
-func (s *Story) Attempt(attrs ...attribute.KeyValue) {
+// StartAttempt starts the span of an attempt. Settle ends it.
+func (s *SessionTrace) StartAttempt(attrs ...attribute.KeyValue) {
 	if s != nil {
 		_, s.attempt = s.tracer.tracer.Start(s.ctx, "attempt", oteltrace.WithAttributes(attrs...))
 	}
 }
 
-// Settle ends the span of the pending attempt with its outcome, and marks it as an error if the attempt failed.
-func (s *Story) Settle(outcome string, succeeded bool) {
+// EndAttempt ends the span of the pending attempt with its outcome, and marks it as an error if the attempt failed.
+func (s *SessionTrace) EndAttempt(outcome string, succeeded bool) {
 	if s == nil || s.attempt == nil {
 		return
 	}
@@ -130,26 +130,26 @@
 	s.attempt = nil
 }
 
-// Play starts the span of the playback, if it is not open already. End ends it.
-func (s *Story) Play(attrs ...attribute.KeyValue) {
+// StartPlayback starts the span of the playback, if it is not open already. End ends it.
+func (s *SessionTrace) StartPlayback(attrs ...attribute.KeyValue) {
 	if s != nil && s.play == nil {
 		_, s.play = s.tracer.tracer.Start(s.ctx, "play", oteltrace.WithAttributes(attrs...))
 	}
 }
 
-// Note adds an event to the span of the playback. It is ignored before Play.
-func (s *Story) Note(event string, attrs ...attribute.KeyValue) {
+// AddEvent adds an event to the span of the playback. It is ignored before Play.
+func (s *SessionTrace) AddEvent(event string, attrs ...attribute.KeyValue) {
 	if s != nil && s.play != nil {
 		s.play.AddEvent(event, oteltrace.WithAttributes(attrs...))
 	}
 }
 
 // End ends the trace and all its open spans, with the reason for the session's end. Further calls do nothing.
-func (s *Story) End(reason string) {
+func (s *SessionTrace) End(reason string) {
 	if s == nil || s.root == nil {
 		return
 	}
-	s.Settle("left open", false)
+	s.EndAttempt("left open", false)
 	if s.play != nil {
 		s.play.End()
 	}
@@ -158,15 +158,15 @@
 	s.root, s.play = nil, nil
 }
 
-// Line is one entry of a session's trace in text form: the begin or end of a span, or an event.
-type Line struct {
+// Entry is one entry of a session's trace in text form: the begin or end of a span, or an event.
+type Entry struct {
 	At   time.Time
 	Text string
 }
 
-// Tell reads a file of traces and returns the entries of the session with a jti, by time. If some lines of the file are
+// ReadSession reads a file of traces and returns the entries of the session with a jti, by time. If some lines of the file are
 // not valid, it returns the entries of the others and an error with the number of invalid lines.
-func Tell(r io.Reader, jti string) ([]Line, error) {
+func ReadSession(r io.Reader, jti string) ([]Entry, error) {
 	// The types have the part of stdouttrace's JSON that is shown.
 	type attr struct {
 		Key   string
@@ -193,7 +193,7 @@
 		}
 		return b.String()
 	}
-	var out []Line
+	var out []Entry
 	reader, invalid := bufio.NewReader(r), 0
 	for {
 		line, readErr := reader.ReadBytes('\n')
@@ -209,14 +209,14 @@
 		if span.SpanContext.TraceID != traceID.String() {
 			continue
 		}
-		out = append(out, Line{span.StartTime, span.Name + " begins" + formatAttrs(span.Attributes)},
-			Line{span.EndTime, fmt.Sprintf("%s ends after %.0f ms", span.Name,
+		out = append(out, Entry{span.StartTime, span.Name + " begins" + formatAttrs(span.Attributes)},
+			Entry{span.EndTime, fmt.Sprintf("%s ends after %.0f ms", span.Name,
 				float64(span.EndTime.Sub(span.StartTime).Microseconds())/1000)})
 		for _, event := range span.Events {
-			out = append(out, Line{event.Time, "  " + event.Name + formatAttrs(event.Attributes)})
+			out = append(out, Entry{event.Time, "  " + event.Name + formatAttrs(event.Attributes)})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Line) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(out, func(a, b Entry) int { return a.At.Compare(b.At) })
 	if invalid > 0 {
 		return out, fmt.Errorf("trace: %d lines are not valid JSON spans and were skipped", invalid)
 	}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -19,22 +19,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		story := tracer.Begin("j-1", attribute.String("title", "t"))
-		story.Attempt(attribute.String("box", "b1"))
-		story.Settle("timed out", false)
-		story.Attempt(attribute.String("box", "b2"))
-		story.Settle("plays", true)
-		story.Play(attribute.String("box", "b2"))
-		story.Note("report", attribute.Float64("stall_ms", 1200))
+		story := tracer.StartSession("j-1", attribute.String("title", "t"))
+		story.StartAttempt(attribute.String("box", "b1"))
+		story.EndAttempt("timed out", false)
+		story.StartAttempt(attribute.String("box", "b2"))
+		story.EndAttempt("plays", true)
+		story.StartPlayback(attribute.String("box", "b2"))
+		story.AddEvent("report", attribute.Float64("stall_ms", 1200))
 		story.End("done")
 		story.End("twice")
-		tracer.Begin("j-2").End("refused")
+		tracer.StartSession("j-2").End("refused")
 		if err := tracer.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	content, _ := os.ReadFile(path)
-	lines, err := Tell(strings.NewReader(string(content)+`{"Name":"half`), "j-1")
+	lines, err := ReadSession(strings.NewReader(string(content)+`{"Name":"half`), "j-1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	// A director was killed while writing a line and a later run appended to it: the other lines are returned, with an
 	// error.
 	broken := `{"Name":"half` + "\n" + string(content)
-	if remaining, err := Tell(strings.NewReader(broken), "j-1"); err == nil || len(remaining) != len(lines) {
+	if remaining, err := ReadSession(strings.NewReader(broken), "j-1"); err == nil || len(remaining) != len(lines) {
 		t.Errorf("with an invalid line: %d lines of %d, error %v", len(remaining), len(lines), err)
 	}
 }
@@ -70,13 +70,13 @@
 			t.Fatal(err)
 		}
 		for i := range 2000 {
-			if story := tracer.Begin(fmt.Sprint(i)); story != nil {
+			if story := tracer.StartSession(fmt.Sprint(i)); story != nil {
 				sampledSum[director] += i
 			} else {
-				story.Attempt()
-				story.Settle("x", false)
-				story.Play()
-				story.Note("x")
+				story.StartAttempt()
+				story.EndAttempt("x", false)
+				story.StartPlayback()
+				story.AddEvent("x")
 				story.End("x")
 			}
 		}
@@ -87,5 +87,5 @@
 		t.Errorf("sums of the sampled sessions' numbers: %v", sampledSum)
 	}
 	var nilTracer *Tracer
-	nilTracer.Begin("j").End("")
+	nilTracer.StartSession("j").End("")
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -105,7 +105,7 @@
 	_, hasBudgetRatio := r.values["safety.repeat_ratio"]
 	_, hasBudgetMin := r.values["safety.min_extra"]
 	config := headmill.Config{
-		Self: r.int("me"), Fronts: r.int("replicas_of_me"), Zone: r.int("zone"),
+		FrontIndex: r.int("me"), Fronts: r.int("replicas_of_me"), Zone: r.int("zone"),
 		RateKB: r.numbers(familyPrefix + "level_kb"), RungWorth: r.numbers(familyPrefix + "ladder_worth"),
 		Cells: r.int(familyPrefix + "cells"), Racks: r.int(familyPrefix + "racks"),
 		LinkKBPerWeight: r.number(familyPrefix + "link_unit_kb"), TotalLinkKB: r.number(familyPrefix + "all_links_kb"),
@@ -113,7 +113,7 @@
 		RungChangeCostS:  r.number(familyPrefix + "switch_s"),
 		ReportIntervalMs: r.number(familyPrefix + "tell_ms"), ReportDelayMs: r.number(familyPrefix + "told_late_ms"),
 		MaxAttempts:     r.int("allowed.max_attempts"),
-		MaxRetryAfterMs: r.number("allowed.max_retry_after_ms"), RetryAfter: r.bool("allowed.retry_after"),
+		MaxRetryAfterMs: r.number("allowed.max_retry_after_ms"), AdviseRetryAfter: r.bool("allowed.retry_after"),
 		SubscribeToNodes: r.text("discovery") == "subscribe",
 		WarmUpMs:         r.number("safety.warm_within_ms"), ColdRateFraction: r.number("safety.cold_from"),
 		ColdWindowMs: r.number("safety.tip_after_ms"), ConnectTimeoutMs: r.number("allowed.connect_timeout_ms"),
@@ -126,7 +126,7 @@
 	for i := range r.count("categories") {
 		prefix := fmt.Sprintf("categories.%d.", i)
 		class := headmill.Class{TargetMs: r.number(prefix + "slo_ms"),
-			KeyTTLMs: r.number(prefix + "key_ttl_ms"), Value: r.number(prefix + "value"),
+			KeyTTLMs: r.number(prefix + "key_ttl_ms"), ValuePerSecond: r.number(prefix + "value"),
 			RateScale: valueAt(scales, i, 1), MinRung: int(valueAt(minRungs, i, 0)),
 			MaxRung: int(valueAt(maxRungs, i, float64(len(config.RateKB)-1))), MaxPerTitle: int(valueAt(maxPerTitle, i, 0))}
 		switch r.text(prefix + "semantics") {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -171,10 +171,10 @@
 }
 
 // decodeReport reads a load report: the number of values, then that many of the instance's fields.
-func (d *Decoder) decodeReport(instance uint16, b []byte) (headmill.Report, error) {
+func (d *Decoder) decodeReport(instance uint16, b []byte) (headmill.LoadReport, error) {
 	count := int(b[0])
 	if count > 4 {
-		return headmill.Report{Streams: -1, Link: -1, Uplink: -1},
+		return headmill.LoadReport{Streams: -1, LinkLoad: -1, UplinkLoad: -1},
 			fmt.Errorf("load report has %d values, at most 4 are allowed", count)
 	}
 	return ReadReport(d.reportFields[instance], func(i int, _ string) (float64, bool) {
@@ -187,8 +187,8 @@
 
 // ReadReport builds a load report. It calls value for each of the fields, which are in the settings' order; a value that
 // is not finite counts as missing. Without a link load, the utilization stands in for it.
-func ReadReport(fields []string, value func(i int, name string) (float64, bool)) headmill.Report {
-	r := headmill.Report{Streams: -1, Link: -1, Uplink: -1}
+func ReadReport(fields []string, value func(i int, name string) (float64, bool)) headmill.LoadReport {
+	r := headmill.LoadReport{Streams: -1, LinkLoad: -1, UplinkLoad: -1}
 	var utilization float64 = -1
 	for i, name := range fields {
 		v, ok := value(i, name)
@@ -200,15 +200,15 @@
 		case "outstanding":
 			r.Streams = v
 		case "x0":
-			r.Link = v
+			r.LinkLoad = v
 		case "x1":
-			r.Uplink = v
+			r.UplinkLoad = v
 		case "utilization":
 			utilization = v
 		}
 	}
-	if r.Link < 0 {
-		r.Link = utilization
+	if r.LinkLoad < 0 {
+		r.LinkLoad = utilization
 	}
 	return r
 }
@@ -220,7 +220,7 @@
 	switch b[0] {
 	case eventSignal:
 		ev.Kind, ev.Session = headmill.EvFeedback, headmill.SessionID(u32(b[3:]))
-		ev.Node, ev.Feedback, ev.Value = nodeID(b[9:]), headmill.FeedbackKind(b[15]), f32(b[16:])
+		ev.Node, ev.Feedback, ev.FeedbackValue = nodeID(b[9:]), headmill.FeedbackKind(b[15]), f32(b[16:])
 	case eventHeaders:
 		ev.Kind, ev.Session = headmill.EvAttemptPlaying, headmill.SessionID(u32(b[3:]))
 		ev.Node, ev.LatencyMs = nodeID(b[9:]), f64(b[15:])
@@ -230,7 +230,7 @@
 		ev.TimeLeftMs = f64(b[29:])
 		err = decodePlacement(ev, b[37:], b[45:], b[49:], b[53:], b[57])
 	case eventBell:
-		ev.Kind, ev.Timer = headmill.EvTimer, u64(b[3:])
+		ev.Kind, ev.TimerID = headmill.EvTimer, u64(b[3:])
 	case eventMessage:
 		_, err = tailBytes(b[5:], tail, 1)
 		return m, false, err // the fronts send each other no messages
@@ -246,7 +246,7 @@
 		case 2: // discovery did not answer
 			ev.ListUnavailable = true
 		case 4: // only the nodes that changed
-			ev.Delta = true
+			ev.NodesAreDelta = true
 		default:
 			return m, false, fmt.Errorf("unknown node list kind %d", b[3])
 		}
@@ -276,7 +276,7 @@
 		ev.Kind, ev.Session, ev.SessionOver = headmill.EvAttemptEnded, headmill.SessionID(u32(b[3:])), b[7] != 0
 		ev.LatencyMs, ev.Outcome = f64(b[10:]), headmill.Outcome(u16(b[18:]))
 		ev.Node = nodeID(b[20:])
-		ev.Report, err = d.decodeReport(m.Instance, b[26:])
+		ev.LoadReport, err = d.decodeReport(m.Instance, b[26:])
 	case eventList:
 		return m, false, d.decodeNodeList(b, tail)
 	case eventExit:
@@ -353,7 +353,7 @@
 	case headmill.ActTimer:
 		record[0] = actionTimer
 		order.PutUint64(record[3:], math.Float64bits(a.AtMs))
-		order.PutUint64(record[11:], a.Timer)
+		order.PutUint64(record[11:], a.TimerID)
 	case headmill.ActLog:
 		record[0] = actionLog
 		order.PutUint32(record[3:], uint32(len(e.tail)))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -74,15 +74,15 @@
 		t.Errorf("request %+v", request)
 	}
 	feedback := msgs[2].Event
-	if feedback.Feedback != headmill.FeedbackRateShare || feedback.Value != 0.5 || feedback.Node != list[0].ID {
+	if feedback.Feedback != headmill.FeedbackRateShare || feedback.FeedbackValue != 0.5 || feedback.Node != list[0].ID {
 		t.Errorf("feedback %+v", feedback)
 	}
 	ended := msgs[3].Event
-	if ended.Outcome != headmill.Served || !ended.SessionOver || ended.LatencyMs != 18.5 ||
-		ended.Report.Streams != 7 || ended.Report.Uplink != 1.25 {
+	if ended.Outcome != headmill.OutcomeServed || !ended.SessionOver || ended.LatencyMs != 18.5 ||
+		ended.LoadReport.Streams != 7 || ended.LoadReport.UplinkLoad != 1.25 {
 		t.Errorf("ended attempt %+v", ended)
 	}
-	if msgs[4].Event.Timer != 77 || msgs[5].Instance != 5 || !msgs[6].Exit {
+	if msgs[4].Event.TimerID != 77 || msgs[5].Instance != 5 || !msgs[6].Exit {
 		t.Errorf("timer, viewer left or exit: %+v", msgs[4:])
 	}
 }
@@ -129,7 +129,7 @@
 	id := headmill.NodeID(0x1f43074a120a)
 	for _, a := range []headmill.Action{
 		{Kind: headmill.ActSetup, Session: 0x5d3a91c4, Node: id, AtMs: 80},
-		{Kind: headmill.ActTimer, AtMs: 12345, Timer: 77},
+		{Kind: headmill.ActTimer, AtMs: 12345, TimerID: 77},
 		{Kind: headmill.ActSetRung, Session: 0x5d3a91c4, Rung: 2},
 		{Kind: headmill.ActLog, Text: "two"},
 	} {
@@ -163,7 +163,7 @@
 		t.Fatal(err)
 	}
 	c := s.Config
-	if c.Self != 1 || c.Fronts != 3 || len(c.RateKB) != 2 ||
+	if c.FrontIndex != 1 || c.Fronts != 3 || len(c.RateKB) != 2 ||
 		c.Classes[0].Semantics != headmill.AtMostOnce || c.Classes[0].MaxPerTitle != 3 ||
 		c.Classes[1].KeyScope != headmill.ScopeCell || c.WeightsKnown || !c.RetryBudget || c.Classes[0].MaxRung != 1 {
 		t.Errorf("config %+v", c)
--- a/internal/ws/ws.go
+++ b/internal/ws/ws.go
@@ -19,35 +19,35 @@
 
 // The opcodes.
 const (
-	Continuation Opcode = 0
-	Text         Opcode = 1
-	Binary       Opcode = 2
-	Close        Opcode = 8
-	Ping         Opcode = 9
-	Pong         Opcode = 10
+	OpContinuation Opcode = 0
+	OpText         Opcode = 1
+	OpBinary       Opcode = 2
+	OpClose        Opcode = 8
+	OpPing         Opcode = 9
+	OpPong         Opcode = 10
 )
 
 // The close codes that headmill sends (section 7.4.1).
 const (
-	Normal      = 1000
-	GoingAway   = 1001
-	Protocol    = 1002
-	Unsupported = 1003
-	BadData     = 1007
-	Policy      = 1008
-	TooBig      = 1009
+	CloseNormal          = 1000
+	CloseGoingAway       = 1001
+	CloseProtocolError   = 1002
+	CloseUnsupportedData = 1003
+	CloseInvalidPayload  = 1007
+	ClosePolicyViolation = 1008
+	CloseMessageTooBig   = 1009
 )
 
 // Error is a violation after which nothing more is read; Code is the status code for the close frame.
 type Error struct {
-	Code int
-	Why  string
+	Code   int
+	Reason string
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("ws: %s (%d)", e.Why, e.Code) }
+func (e *Error) Error() string { return fmt.Sprintf("ws: %s (%d)", e.Reason, e.Code) }
 
 // protocolError returns an Error with close code 1002.
-func protocolError(why string) *Error { return &Error{Protocol, why} }
+func protocolError(why string) *Error { return &Error{CloseProtocolError, why} }
 
 // AcceptKey returns the value of Sec-WebSocket-Accept for a Sec-WebSocket-Key (section 4.2.2), and false if the key is
 // not 16 bytes of base64.
@@ -154,13 +154,13 @@
 		return protocolError("a reserved bit is set and no extension was agreed") // 5.2
 	case second&0x80 == 0:
 		return protocolError("a frame of a client is not masked") // 5.1
-	case op > Binary && op < Close || op > Pong:
+	case op > OpBinary && op < OpClose || op > OpPong:
 		return protocolError("an opcode that is reserved") // 5.2
-	case op >= Close && (!fin || short > 125):
+	case op >= OpClose && (!fin || short > 125):
 		return protocolError("a control frame that is fragmented or longer than 125 bytes") // 5.5
-	case op == Continuation && r.messageOp == 0:
+	case op == OpContinuation && r.messageOp == 0:
 		return protocolError("a continuation without a beginning") // 5.4
-	case (op == Text || op == Binary) && r.messageOp != 0:
+	case (op == OpText || op == OpBinary) && r.messageOp != 0:
 		return protocolError("a new message within a fragmented one") // 5.4
 	}
 	return nil
@@ -181,12 +181,12 @@
 		}
 	}
 	r.opcode, r.fin = Opcode(r.header[0]&0x0f), r.header[0]&0x80 != 0
-	if r.opcode < Close && uint64(len(r.message))+length > uint64(r.Max) {
-		return &Error{TooBig, fmt.Sprintf("a message of over %d bytes", r.Max)} // 7.4.1
+	if r.opcode < OpClose && uint64(len(r.message))+length > uint64(r.Max) {
+		return &Error{CloseMessageTooBig, fmt.Sprintf("a message of over %d bytes", r.Max)} // 7.4.1
 	}
 	copy(r.maskKey[:], r.header[headerSize-4:headerSize])
 	r.inPayload, r.headerLen, r.maskPos, r.remaining = true, 0, 0, int(length)
-	if r.opcode == Text || r.opcode == Binary {
+	if r.opcode == OpText || r.opcode == OpBinary {
 		r.messageOp = r.opcode
 	}
 	return nil
@@ -195,7 +195,7 @@
 // appendPayload unmasks and stores a part of a payload (section 5.3).
 func (r *Reader) appendPayload(b []byte) error {
 	r.remaining -= len(b)
-	if r.opcode >= Close {
+	if r.opcode >= OpClose {
 		from := len(r.control)
 		r.control = append(r.control, b...)
 		r.unmask(r.control[from:])
@@ -204,8 +204,8 @@
 	from := len(r.message)
 	r.message = append(r.message, b...)
 	r.unmask(r.message[from:])
-	if r.messageOp == Text && !r.validateText(r.message[from:]) {
-		return &Error{BadData, "a text message that is not UTF-8"} // 8.1
+	if r.messageOp == OpText && !r.validateText(r.message[from:]) {
+		return &Error{CloseInvalidPayload, "a text message that is not UTF-8"} // 8.1
 	}
 	return nil
 }
@@ -256,11 +256,11 @@
 // finishFrame handles the end of a frame, and of a message if the frame was its last.
 func (r *Reader) finishFrame(onMessage func(Message)) error {
 	r.inPayload = false
-	if r.opcode >= Close {
+	if r.opcode >= OpClose {
 		payload := r.control
 		r.control = r.control[:0]
 		m := Message{Op: r.opcode, Payload: payload}
-		if r.opcode == Close {
+		if r.opcode == OpClose {
 			if err := parseClose(&m); err != nil {
 				return err
 			}
@@ -273,7 +273,7 @@
 		return nil
 	}
 	if len(r.partialRune) > 0 {
-		return &Error{BadData, "a text message that ends within a character"}
+		return &Error{CloseInvalidPayload, "a text message that ends within a character"}
 	}
 	m := Message{Op: r.messageOp, Payload: r.message}
 	r.messageOp = 0
@@ -297,23 +297,23 @@
 		return protocolError("a close frame of one byte")
 	}
 	m.Code, m.Payload = int(binary.BigEndian.Uint16(payload)), payload[2:]
-	if !ValidCode(m.Code) {
+	if !ValidCloseCode(m.Code) {
 		return protocolError("a close code that no one may send")
 	}
 	if !utf8.Valid(m.Payload) {
-		return &Error{BadData, "a close reason that is not UTF-8"}
+		return &Error{CloseInvalidPayload, "a close reason that is not UTF-8"}
 	}
 	return nil
 }
 
-// ValidCode reports whether a status code may be sent in a close frame (section 7.4 and the IANA registry that it
+// ValidCloseCode reports whether a status code may be sent in a close frame (section 7.4 and the IANA registry that it
 // establishes).
-func ValidCode(code int) bool {
+func ValidCloseCode(code int) bool {
 	return code >= 1000 && code <= 1003 || code >= 1007 && code <= 1014 || code >= 3000 && code <= 4999
 }
 
-// Append appends a final server frame, which is not masked (section 5.1).
-func Append(b []byte, op Opcode, payload []byte) []byte {
+// AppendFrame appends a final server frame, which is not masked (section 5.1).
+func AppendFrame(b []byte, op Opcode, payload []byte) []byte {
 	b = append(b, 0x80|byte(op))
 	switch n := len(payload); {
 	case n < 126:
@@ -332,11 +332,11 @@
 // code 1005 gives a frame without a payload.
 func AppendClose(b []byte, code int, reason string) []byte {
 	if code == 1005 {
-		return Append(b, Close, nil)
+		return AppendFrame(b, OpClose, nil)
 	}
 	for len(reason) > 123 {
 		_, n := utf8.DecodeLastRuneInString(reason)
 		reason = reason[:len(reason)-n]
 	}
-	return Append(b, Close, append(binary.BigEndian.AppendUint16(nil, uint16(code)), reason...))
+	return AppendFrame(b, OpClose, append(binary.BigEndian.AppendUint16(nil, uint16(code)), reason...))
 }
--- a/internal/ws/ws_test.go
+++ b/internal/ws/ws_test.go
@@ -47,9 +47,9 @@
 
 const (
 	finBit         = 0x80
-	opText         = byte(Text)
-	opBinary       = byte(Binary)
-	opContinuation = byte(Continuation)
+	opText         = byte(OpText)
+	opBinary       = byte(OpBinary)
+	opContinuation = byte(OpContinuation)
 )
 
 func TestMessages(t *testing.T) {
@@ -68,7 +68,7 @@
 			"1:hello:0",
 		},
 		"control between": {
-			join(clientFrame(opText, "he"), clientFrame(finBit|byte(Ping), "x"), clientFrame(finBit|opContinuation, "llo")),
+			join(clientFrame(opText, "he"), clientFrame(finBit|byte(OpPing), "x"), clientFrame(finBit|opContinuation, "llo")),
 			"9:x:0 1:hello:0",
 		},
 		"empty fragments": {
@@ -84,13 +84,13 @@
 			"1:😀:0",
 		},
 		"ping and pong": {
-			join(clientFrame(finBit|byte(Ping), ""), clientFrame(finBit|byte(Pong), "p")),
+			join(clientFrame(finBit|byte(OpPing), ""), clientFrame(finBit|byte(OpPong), "p")),
 			"9::0 10:p:0",
 		},
-		"close":                {clientFrame(finBit|byte(Close), "\x03\xe8bye"), "8:bye:1000"},
-		"close without a code": {clientFrame(finBit|byte(Close), ""), "8::1005"},
+		"close":                {clientFrame(finBit|byte(OpClose), "\x03\xe8bye"), "8:bye:1000"},
+		"close without a code": {clientFrame(finBit|byte(OpClose), ""), "8::1005"},
 		"nothing after a close": {
-			join(clientFrame(finBit|byte(Close), "\x0f\xa0"), clientFrame(finBit|opText, "x")),
+			join(clientFrame(finBit|byte(OpClose), "\x0f\xa0"), clientFrame(finBit|opText, "x")),
 			"8::4000",
 		},
 		"two messages": {
@@ -109,52 +109,52 @@
 func TestViolations(t *testing.T) {
 	plain := []byte{finBit | opText, 1, 'x'}
 	code := func(n int) []byte {
-		return clientFrame(finBit|byte(Close), string(binary.BigEndian.AppendUint16(nil, uint16(n))))
+		return clientFrame(finBit|byte(OpClose), string(binary.BigEndian.AppendUint16(nil, uint16(n))))
 	}
 	for name, c := range map[string]struct {
 		in   []byte
 		code int
 	}{
-		"not masked":                       {plain, Protocol},
-		"RSV1":                             {clientFrame(finBit|0x40|opText, "x"), Protocol},
-		"RSV2":                             {clientFrame(finBit|0x20|opText, "x"), Protocol},
-		"RSV3":                             {clientFrame(finBit|0x10|opText, "x"), Protocol},
-		"opcode 3":                         {clientFrame(finBit|3, "x"), Protocol},
-		"opcode 7":                         {clientFrame(finBit|7, "x"), Protocol},
-		"opcode 11":                        {clientFrame(finBit|11, "x"), Protocol},
-		"opcode 15":                        {clientFrame(finBit|15, "x"), Protocol},
-		"fragmented ping":                  {clientFrame(byte(Ping), "x"), Protocol},
-		"long ping":                        {clientFrame(finBit|byte(Ping), strings.Repeat("x", 126)), Protocol},
-		"continuation without a message":   {clientFrame(finBit|opContinuation, "x"), Protocol},
-		"message within a message":         {join(clientFrame(opText, "x"), clientFrame(finBit|opText, "y")), Protocol},
-		"16 bits for 125":                  {[]byte{finBit | opBinary, 0x80 | 126, 0, 125, 0, 0, 0, 0}, Protocol},
-		"64 bits for 65535":                {[]byte{finBit | opBinary, 0x80 | 127, 0, 0, 0, 0, 0, 0, 255, 255, 0, 0, 0, 0}, Protocol},
-		"64 bits with the highest bit set": {[]byte{finBit | opBinary, 0x80 | 127, 128, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, Protocol},
-		"over the limit":                   {clientFrame(finBit|opBinary, strings.Repeat("x", 1001)), TooBig},
+		"not masked":                       {plain, CloseProtocolError},
+		"RSV1":                             {clientFrame(finBit|0x40|opText, "x"), CloseProtocolError},
+		"RSV2":                             {clientFrame(finBit|0x20|opText, "x"), CloseProtocolError},
+		"RSV3":                             {clientFrame(finBit|0x10|opText, "x"), CloseProtocolError},
+		"opcode 3":                         {clientFrame(finBit|3, "x"), CloseProtocolError},
+		"opcode 7":                         {clientFrame(finBit|7, "x"), CloseProtocolError},
+		"opcode 11":                        {clientFrame(finBit|11, "x"), CloseProtocolError},
+		"opcode 15":                        {clientFrame(finBit|15, "x"), CloseProtocolError},
+		"fragmented ping":                  {clientFrame(byte(OpPing), "x"), CloseProtocolError},
+		"long ping":                        {clientFrame(finBit|byte(OpPing), strings.Repeat("x", 126)), CloseProtocolError},
+		"continuation without a message":   {clientFrame(finBit|opContinuation, "x"), CloseProtocolError},
+		"message within a message":         {join(clientFrame(opText, "x"), clientFrame(finBit|opText, "y")), CloseProtocolError},
+		"16 bits for 125":                  {[]byte{finBit | opBinary, 0x80 | 126, 0, 125, 0, 0, 0, 0}, CloseProtocolError},
+		"64 bits for 65535":                {[]byte{finBit | opBinary, 0x80 | 127, 0, 0, 0, 0, 0, 0, 255, 255, 0, 0, 0, 0}, CloseProtocolError},
+		"64 bits with the highest bit set": {[]byte{finBit | opBinary, 0x80 | 127, 128, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, CloseProtocolError},
+		"over the limit":                   {clientFrame(finBit|opBinary, strings.Repeat("x", 1001)), CloseMessageTooBig},
 		"over the limit in parts": {
 			join(clientFrame(opBinary, strings.Repeat("x", 600)), clientFrame(finBit|opContinuation, strings.Repeat("x", 401))),
-			TooBig,
+			CloseMessageTooBig,
 		},
-		"huge":      {[]byte{finBit | opBinary, 0x80 | 127, 127, 255, 255, 255, 255, 255, 255, 255, 0, 0, 0, 0}, TooBig},
-		"bad text":  {clientFrame(finBit|opText, "a\xff"), BadData},
-		"surrogate": {clientFrame(finBit|opText, "\xed\xa0\x80"), BadData},
-		"overlong":  {clientFrame(finBit|opText, "\xc0\xaf"), BadData},
+		"huge":      {[]byte{finBit | opBinary, 0x80 | 127, 127, 255, 255, 255, 255, 255, 255, 255, 0, 0, 0, 0}, CloseMessageTooBig},
+		"bad text":  {clientFrame(finBit|opText, "a\xff"), CloseInvalidPayload},
+		"surrogate": {clientFrame(finBit|opText, "\xed\xa0\x80"), CloseInvalidPayload},
+		"overlong":  {clientFrame(finBit|opText, "\xc0\xaf"), CloseInvalidPayload},
 		"bad in the second fragment": {
 			join(clientFrame(opText, "\xe2"), clientFrame(finBit|opContinuation, "(")),
-			BadData,
+			CloseInvalidPayload,
 		},
-		"ends within a character": {clientFrame(finBit|opText, "\xe2\x82"), BadData},
-		"close of one byte":       {clientFrame(finBit|byte(Close), "x"), Protocol},
-		"close reason not UTF-8":  {clientFrame(finBit|byte(Close), "\x03\xe8\xff"), BadData},
-		"close 0":                 {code(0), Protocol},
-		"close 999":               {code(999), Protocol},
-		"close 1004":              {code(1004), Protocol},
-		"close 1005":              {code(1005), Protocol},
-		"close 1006":              {code(1006), Protocol},
-		"close 1015":              {code(1015), Protocol},
-		"close 1016":              {code(1016), Protocol},
-		"close 2999":              {code(2999), Protocol},
-		"close 5000":              {code(5000), Protocol},
+		"ends within a character": {clientFrame(finBit|opText, "\xe2\x82"), CloseInvalidPayload},
+		"close of one byte":       {clientFrame(finBit|byte(OpClose), "x"), CloseProtocolError},
+		"close reason not UTF-8":  {clientFrame(finBit|byte(OpClose), "\x03\xe8\xff"), CloseInvalidPayload},
+		"close 0":                 {code(0), CloseProtocolError},
+		"close 999":               {code(999), CloseProtocolError},
+		"close 1004":              {code(1004), CloseProtocolError},
+		"close 1005":              {code(1005), CloseProtocolError},
+		"close 1006":              {code(1006), CloseProtocolError},
+		"close 1015":              {code(1015), CloseProtocolError},
+		"close 1016":              {code(1016), CloseProtocolError},
+		"close 2999":              {code(2999), CloseProtocolError},
+		"close 5000":              {code(5000), CloseProtocolError},
 	} {
 		for _, part := range []int{1, 3, len(c.in)} {
 			_, err := readAll(c.in, part, 1000)
@@ -191,7 +191,7 @@
 
 func TestServerFrames(t *testing.T) {
 	for _, n := range []int{0, 125, 126, 65535, 65536} {
-		b := Append(nil, Binary, make([]byte, n))
+		b := AppendFrame(nil, OpBinary, make([]byte, n))
 		head := map[bool]int{true: 2, false: 4}[n < 126]
 		if n >= 1<<16 {
 			head = 10
@@ -209,9 +209,9 @@
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(join(clientFrame(opText, "he"), clientFrame(finBit|byte(Ping), "x"),
+	f.Add(join(clientFrame(opText, "he"), clientFrame(finBit|byte(OpPing), "x"),
 		clientFrame(finBit|opContinuation, "llo")), uint8(1))
-	f.Add(clientFrame(finBit|byte(Close), "\x03\xe8bye"), uint8(2))
+	f.Add(clientFrame(finBit|byte(OpClose), "\x03\xe8bye"), uint8(2))
 	f.Add(clientFrame(finBit|opText, "\xe2\x82\xac"), uint8(0))
 	f.Fuzz(func(t *testing.T, b []byte, part uint8) {
 		whole, err := readAll(b, max(len(b), 1), 300)
--- a/size_test.go
+++ b/size_test.go
@@ -42,7 +42,7 @@
 	for _, fronts := range []int{3, 300} {
 		front := newFront(t, largeConfig(fronts, 30), 1, largeNodes(30))
 		for _, node := range largeNodes(3) {
-			front.Step(1e6, []Event{{Kind: EvFeedback, Node: node.ID, Feedback: FeedbackLinkLoad, Value: 0.1}}, nil)
+			front.Step(1e6, []Event{{Kind: EvFeedback, Node: node.ID, Feedback: FeedbackLinkLoad, FeedbackValue: 0.1}}, nil)
 		}
 		_, rungs[fronts], _ = findSetup(front.Step(1e6, []Event{{Kind: EvRequest, Session: 1, Title: 5,
 			TimeLeftMs: 3000, Copies: 3, MaxRung: 2}}, nil))
@@ -58,7 +58,7 @@
 		initialNodes := map[uint64]NodeID{}
 		for self := range 2 {
 			cfg := largeConfig(300, 30)
-			cfg.Self, cfg.Zone = self, zone
+			cfg.FrontIndex, cfg.Zone = self, zone
 			front := newFront(t, cfg, uint64(self), largeNodes(30))
 			for title := uint64(1); title < 20; title++ {
 				node, _, _ := findSetup(front.Step(1e6, []Event{{Kind: EvRequest, Session: SessionID(title), Title: title,
@@ -81,7 +81,7 @@
 	request := Event{Kind: EvRequest, Session: 1, Title: 5, TimeLeftMs: 3000, FirstCell: 50, Copies: 3, MaxRung: 2}
 	for i, node := range largeNodes(40) {
 		front.Step(1e6+float64(i)*10, []Event{{Kind: EvFeedback, Node: node.ID, Feedback: FeedbackLinkLoad,
-			Value: 1.1}}, nil)
+			FeedbackValue: 1.1}}, nil)
 	}
 	if _, _, ok := findSetup(front.Step(1e6+400, []Event{request}, nil)); ok {
 		t.Fatal("set up on a node without a measurement in a fleet that is full everywhere")
@@ -93,14 +93,14 @@
 func totalRateChangeKB(t *testing.T, load float64, rung int) (kb float64) {
 	for self := range 100 {
 		cfg := largeConfig(100, 10)
-		cfg.Self = self
+		cfg.FrontIndex = self
 		front := newFront(t, cfg, uint64(self), largeNodes(10))
 		node := largeNodes(1)[0].ID
 		front.Step(1e6, []Event{{Kind: EvExistingSession, Session: 1, Node: node, Title: 1, Copies: 3, MaxRung: 2},
-			{Kind: EvFeedback, Session: 1, Node: node, Feedback: FeedbackRung, Value: float64(rung)}}, nil)
-		front.Step(1e6+6000, []Event{{Kind: EvFeedback, Session: 1, Node: node, Feedback: FeedbackLinkLoad, Value: load},
-			{Kind: EvFeedback, Session: 1, Node: node, Feedback: FeedbackUplinkLoad, Value: 0.5}}, nil)
-		for _, action := range front.Step(1e6+6250, []Event{{Kind: EvTimer, Timer: tickTimerID}}, nil) {
+			{Kind: EvFeedback, Session: 1, Node: node, Feedback: FeedbackRung, FeedbackValue: float64(rung)}}, nil)
+		front.Step(1e6+6000, []Event{{Kind: EvFeedback, Session: 1, Node: node, Feedback: FeedbackLinkLoad, FeedbackValue: load},
+			{Kind: EvFeedback, Session: 1, Node: node, Feedback: FeedbackUplinkLoad, FeedbackValue: 0.5}}, nil)
+		for _, action := range front.Step(1e6+6250, []Event{{Kind: EvTimer, TimerID: tickTimerID}}, nil) {
 			if action.Kind == ActSetRung {
 				kb += cfg.RateKB[action.Rung] - cfg.RateKB[rung]
 			}
@@ -152,13 +152,13 @@
 		for i := range SessionID(10) {
 			events = append(events,
 				Event{Kind: EvExistingSession, Session: 500 + i, Node: node, Title: 1, Copies: 3, MaxRung: 2},
-				Event{Kind: EvFeedback, Session: 500 + i, Node: node, Feedback: FeedbackRung, Value: 1})
+				Event{Kind: EvFeedback, Session: 500 + i, Node: node, Feedback: FeedbackRung, FeedbackValue: 1})
 		}
 		front.step(events...)
 		front.now += 6000
-		front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, Value: load})
+		front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, FeedbackValue: load})
 		front.now += 250
-		lowered := hasAction(front.step(Event{Kind: EvTimer, Timer: tickTimerID}), ActSetRung)
+		lowered := hasAction(front.step(Event{Kind: EvTimer, TimerID: tickTimerID}), ActSetRung)
 		if want := load > deepReliefThreshold; lowered != want {
 			t.Fatalf("at load %v lowered is %v, want %v", load, lowered, want)
 		}
@@ -170,8 +170,8 @@
 	front := startFront(t, testConfig())
 	id, actions := front.request(0, 3)
 	node, _, _ := findSetup(actions)
-	front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: Full, SessionOver: true,
-		Report: Report{Present: true, Streams: -1, Link: 1.2, Uplink: -1}})
+	front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: OutcomeFull, SessionOver: true,
+		LoadReport: LoadReport{Present: true, Streams: -1, LinkLoad: 1.2, UplinkLoad: -1}})
 	if load := front.controller.linkLoad(front.controller.nodesByID[node]); load < 1.1 {
 		t.Fatalf("link load estimate %v after a first report of 1.2", load)
 	}
@@ -184,12 +184,12 @@
 	cfg.WarmUpMs, cfg.StreamsByKind = 10000, []int{30}
 	nodes := largeNodes(10)
 	for i := range nodes {
-		nodes[i].Health = Gone
+		nodes[i].Health = HealthRemoved
 	}
-	nodes[0].Health, nodes[0].StartedAtMs = Ready, 1e6
+	nodes[0].Health, nodes[0].StartedAtMs = HealthReady, 1e6
 	var fronts []*Controller
 	for self := range cfg.Fronts {
-		cfg.Self = self
+		cfg.FrontIndex = self
 		fronts = append(fronts, newFront(t, cfg, uint64(self), nodes))
 	}
 	var setupTimes []float64
@@ -198,7 +198,7 @@
 			request := Event{Kind: EvRequest, Session: SessionID(now-1e6) + 1, Title: 1, TimeLeftMs: 3000, Copies: 3}
 			if node, _, ok := findSetup(front.Step(now, []Event{request}, nil)); ok {
 				setupTimes = append(setupTimes, now)
-				front.Step(now, []Event{{Kind: EvAttemptEnded, Session: request.Session, Node: node, Outcome: Full,
+				front.Step(now, []Event{{Kind: EvAttemptEnded, Session: request.Session, Node: node, Outcome: OutcomeFull,
 					SessionOver: true}}, nil)
 			}
 		}
@@ -231,13 +231,13 @@
 			warmUpMs, 0.4, windowMs, 250, []int{316}
 		nodes := largeNodes(10)
 		for i := range nodes {
-			nodes[i].Health = Gone
+			nodes[i].Health = HealthRemoved
 		}
-		nodes[0].Health = Ready
+		nodes[0].Health = HealthReady
 		random := rand.New(rand.NewPCG(1, 2))
 		var setupTimes []float64
 		for self := range fronts {
-			cfg.Self = self
+			cfg.FrontIndex = self
 			start := func(now float64) *Controller {
 				nodes[0].StartedAtMs = 1e6 - 500*random.Float64() // as this front believes
 				front, err := New(cfg, uint64(self))
@@ -256,7 +256,7 @@
 					Copies: 3}
 				if node, _, ok := findSetup(front.Step(now, []Event{request}, nil)); ok {
 					setupTimes = append(setupTimes, now+cfg.ConnectTimeoutMs*random.Float64())
-					front.Step(now, []Event{{Kind: EvAttemptEnded, Session: request.Session, Node: node, Outcome: NeverSent,
+					front.Step(now, []Event{{Kind: EvAttemptEnded, Session: request.Session, Node: node, Outcome: OutcomeNeverSent,
 						SessionOver: true}}, nil)
 				}
 			}
@@ -288,7 +288,7 @@
 	front := newFront(t, largeConfig(300, 300), 1, nil)
 	request := func(now float64, id SessionID, copies int) []Action {
 		return front.Step(now, []Event{{Kind: EvRequest, Session: id, Title: uint64(id), TimeLeftMs: 3000,
-			FirstCell: int(id), Copies: copies, MaxRung: 2}, {Kind: EvTimer, Timer: tickTimerID}}, nil)
+			FirstCell: int(id), Copies: copies, MaxRung: 2}, {Kind: EvTimer, TimerID: tickTimerID}}, nil)
 	}
 	if !hasAction(request(1e6, 1, 3), ActRefuse) {
 		t.Fatal("no refusal with an empty node list")
@@ -324,7 +324,7 @@
 		node, _, ok := findSetup(front.Step(1e6, []Event{{Kind: EvRequest, Session: id, Title: 7, TimeLeftMs: 3000,
 			Copies: 250, MaxRung: 2}}, nil))
 		if ok {
-			front.Step(1e6, []Event{{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: Served,
+			front.Step(1e6, []Event{{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: OutcomeServed,
 				SessionOver: true}}, nil)
 		}
 	}
