--- a/api.go
+++ b/api.go
@@ -1,6 +1,6 @@
-// Package headmill is the decision module of a session director: it places video sessions on a fleet of media
-// nodes by the token routing of the DALA paper, chooses and changes their rungs of the rate ladder, and refuses
-// requests that do not fit.
+// Package headmill is the decision module of a session director: it places video sessions on media nodes by
+// the token routing of the DALA scheme (cited in controller.go), chooses and changes their rungs of the rate
+// ladder, and refuses requests that do not fit.
 //
 // One Controller decides for one front, which is one director's instance of this module. Its inputs are a
 // Config and a stream of events: node lists, requests, load feedback, and the outcomes of attempts. Its
@@ -15,15 +15,17 @@
 //   - computes a shadow price of capacity, and from it the rung to start with;
 //   - keeps a title on the node that holds its placement token, as long as that node passes an admission
 //     test with headroom, and otherwise moves the token to the least-loaded holder that passes;
-//   - lowers the rungs of sessions that earn less per kB, or tries lower rungs, before it refuses.
+//   - lowers the rungs of sessions that are worth less per kB, or tries lower rungs, before it refuses.
 //
 // Further attempts are limited by the class's semantics and by a retry budget, and nodes that warm up get
 // set-ups at a slow-start pace. Between requests a timer lowers rungs on overloaded links and raises them
 // where capacity is free; the load limits of the two differ, and a rung is held for a while after a change,
 // so that rungs do not flap.
 //
-// Times are milliseconds on the caller's clock, which must not run backwards; rates are kB/s. A Controller
-// starts no goroutine, reads no clock and is not safe for concurrent use; separate Controllers share nothing.
+// Times are milliseconds on the caller's clock, which must not run backwards. Names that end in KB are rates
+// or capacities in kB/s. Worth is a dimensionless utility: see Class.ValuePerSecond and Config.RungWorth. A
+// Controller starts no goroutine, reads no clock and is not safe for concurrent use; separate Controllers
+// share nothing.
 package headmill
 
 import (
@@ -38,7 +40,7 @@
 	MaxRaiseLoad = 0.80
 )
 
-// NodeID is the opaque name of a media node: 4 address bytes and a port.
+// NodeID is the ID of a media node. Package decide/discovery makes it, from the node's address or its name.
 type NodeID uint64
 
 // SessionID names one request for a session. IDs are never reused.
@@ -70,21 +72,21 @@
 	Semantics      Semantics // whether a set-up may be repeated
 	KeyScope       Scope     // for IdempotentByKey: where a set-up may be repeated
 	KeyTTLMs       float64   // for IdempotentByKey: for how long
-	ValuePerSecond float64   // worth of one second at a rung of worth 1
+	ValuePerSecond float64   // weight of the class: worth of one second at a rung whose Config.RungWorth is 1
 	RateScale      float64   // factor on the rates of the ladder
 	MinRung        int       // lowest rung that may be set
 	MaxRung        int       // highest rung that may be set
 	MaxPerTitle    int       // session cap for one title at a front; 0 = none
 }
 
-// Config is the configuration of a front. A zero means that a value is not stated.
+// Config is the configuration of a front. A zero is a value like any other, except where a field says otherwise.
 type Config struct {
 	FrontIndex          int       // index of this front
 	Fronts              int       // number of fronts
 	Zone                int       // the front's own zone, as in Node.Zone
 	Classes             []Class   // indexed by Event.Class
 	RateKB              []float64 // the ladder: rate of each rung
-	RungWorth           []float64 // what a second at each rung earns
+	RungWorth           []float64 // utility per second at a rung, the same for all classes; 1 is the unit of worth
 	Cells               int       // number of cells
 	Racks               int       // number of racks
 	StreamsByKind       []int     // limit of concurrent streams of each kind of node
@@ -92,16 +94,16 @@
 	TotalLinkKB         float64   // capacity of all links together at the start
 	UplinkKB            float64   // mean capacity of a rack's uplink
 	WeightsKnown        bool      // Node.Weight tells the nodes' sizes apart
-	RungChangeCostS     float64   // cost of a rung change, in seconds of worth
+	RungChangeCostS     float64   // cost of a rung change: the worth of so many seconds at a rung of worth 1
 	ReportIntervalMs    float64   // time between two measurements of a load; 0 = none are sent
-	ReportDelayMs       float64   // age of a measurement on arrival
+	ReportDelayMs       float64   // age of an EvFeedback measurement on arrival
 	MaxAttempts         int       // attempts for one request
-	MaxRetryAfterMs     float64   // retry time that a refusal advises if RetryAfter is set
+	MaxRetryAfterMs     float64   // retry time that each refusal advises if AdviseRetryAfter is set
 	AdviseRetryAfter    bool      // refusals advise when to retry
 	SubscribeToNodes    bool      // the node list must be subscribed to
 	WarmUpMs            float64   // time for which a started node is cold
-	ColdRateFraction    float64   // lowest set-up rate of a cold node, as a fraction of its streams per WarmUpMs
-	ColdWindowMs        float64   // window in which a cold node bears its set-up rate plus a random excess
+	ColdRateFraction    float64   // a cold node accepts at least streams*ColdRateFraction set-ups in WarmUpMs
+	ColdWindowMs        float64   // window in which it accepts n+2*sqrt(n)+2 set-ups, n by that rate; 0 = unknown
 	ConnectTimeoutMs    float64   // time that a set-up may wait for a connection
 	RetryBudget         bool      // the three fields below apply
 	RetryBudgetMin      float64   // further attempts that are always allowed within the window
@@ -130,7 +132,7 @@
 	Zone        int
 }
 
-// Outcome is the result of an attempt.
+// Outcome is the result of an attempt or of the session that it started.
 type Outcome uint16
 
 // The outcomes. Full, ConnectFailed and NeverSent prove that the set-up has not run.
@@ -152,12 +154,12 @@
 const (
 	EvNodes           EventKind = iota // node list: Nodes, Delta, ListUnavailable
 	EvRequest                          // a viewer requests a session
-	EvExistingSession                  // a session that was under way at the start, on Node
+	EvExistingSession                  // a session that plays already, on Node: after a restart or a late answer
 	EvAttemptPlaying                   // an attempt plays: Session, Node, LatencyMs
-	EvFeedback                         // a measurement: Session, Node, Feedback, Value
-	EvAttemptEnded                     // an attempt or session ended: Outcome, SessionOver, Report
+	EvFeedback                         // a measurement: Session, Node, Feedback, FeedbackValue
+	EvAttemptEnded                     // an attempt or session ended: Outcome, SessionOver, LoadReport
 	EvViewerLeft                       // the viewer left: Session
-	EvTimer                            // a timer of ActTimer expired: Timer
+	EvTimer                            // a timer of ActTimer expired: TimerID
 )
 
 // FeedbackKind is the subject of an EvFeedback.
@@ -197,7 +199,7 @@
 	SessionOver     bool // the session is over: no further attempt
 	LoadReport      LoadReport
 	Feedback        FeedbackKind
-	FeedbackValue   float64 // of the feedback
+	FeedbackValue   float64 // a share, a rung or a load, by Feedback
 	TimerID         uint64
 	Nodes           []Node // only read during Step
 	NodesAreDelta   bool   // Nodes holds changed entries only
@@ -213,7 +215,7 @@
 	ActRefuse                      // final answer: the viewer may retry, RetryAfterMs as advice (0 = none)
 	ActFail                        // final answer: a set-up may have taken effect, and a retry may repeat it
 	ActSetRung                     // set the rung of Session to Rung
-	ActTimer                       // send an EvTimer with this Timer at AtMs
+	ActTimer                       // send an EvTimer with this TimerID at AtMs
 	ActSubscribe                   // subscribe to the node list
 	ActLog                         // log Text for the operator
 )
@@ -224,7 +226,7 @@
 	Session      SessionID
 	Node         NodeID
 	Rung         int
-	AtMs         float64 // ActSetup: time-out as a duration, 0 = until the viewer gives up; ActTimer: time
+	AtMs         float64 // ActSetup: time-out as a duration, 0 = until the viewer gives up; ActTimer: point in time
 	RetryAfterMs float64
 	TimerID      uint64
 	Text         string
--- a/controller.go
+++ b/controller.go
@@ -5,13 +5,14 @@
 // Path of a request:
 //
 //  1. Step passes EvRequest to handleRequest, which calls placeSession.
-//  2. eligibleHolders collects the nodes that hold the title and are neither excluded by a rule
+//  2. eligibleHolders collects the nodes that hold the title and are neither excluded by a hard constraint
 //     (setupAllowed) nor by the circuit breaker (selectable).
-//  3. shadowPrice and rungAtPrice choose the rung that the capacity of these nodes can pay for.
+//  3. shadowPrice finds the price of capacity on these nodes, and rungAtPrice the rung whose worth exceeds
+//     the price of its rate by most.
 //  4. pickNode applies the admission test (admits) to the holder of the title's placement token, and moves
 //     the token to the least-loaded holder that passes where that one does not.
-//  5. If no holder passes, freeCapacity lowers own sessions that earn less per kB than the new one; if that
-//     is not enough, steps 4 and 5 repeat with the next lower rung.
+//  5. If no holder passes, freeCapacity lowers own sessions that are worth less per kB than the new one; if
+//     that is not enough, steps 4 and 5 repeat with the next lower rung.
 //  6. sendSetup, the only place that emits a set-up, checks setupAllowed once more: drains, deadlines, the
 //     attempt limit, the per-title session cap, class semantics, the retry budget and slow start.
 //  7. If nothing fits, rejectRequest answers the viewer.
@@ -30,15 +31,18 @@
 // A node accepts set-ups according to these states:
 //
 //	state        fields                           set-ups
-//	closed       consecutiveFailures == 0         admitted by load; a certain failure, or the second
-//	                                              suspected one in a row, opens it
+//	closed       consecutiveFailures == 0         admitted by load; a certain failure, or a suspected one
+//	                                              after another, opens it (attributeFailure)
 //	open         now < ejectedUntil               none, until the back-off is over
 //	half-open    consecutiveFailures > 0          one at a time and none of an AtMostOnce class; playing
-//	                                              closes it, a failure opens it for twice as long, up to
-//	                                              maxEjectionMs
+//	                                              closes it; a failure that would open it when closed
+//	                                              opens it for twice as long, up to maxEjectionMs
 //	full         now < fullUntil                  none: the admission test fails
 //	warming up   now < warmUpStartedAt+WarmUpMs   paced by hasWarmUpSlot
-//	unavailable  unavailable                      none: the node drains or is gone
+//	unavailable  unavailable                      none: the node drains or has been removed
+//
+// The DALA scheme, from which the routing by placement tokens is taken: Z. Ge, P. Ji, P. Shenoy, "A Demand
+// Adaptive and Locality Aware (DALA) Streaming Media Server Cluster Architecture", NOSSDAV 2002.
 
 import (
 	"cmp"
@@ -53,11 +57,11 @@
 	// setupLoadLimit is the load of a link or uplink up to which set-ups are admitted. The rest absorbs the
 	// spread of the sessions' actual rates.
 	setupLoadLimit = MaxSetupLoad
-	// reliefThreshold is the load above which own sessions are lowered: sessions that get less than 0.98 of
-	// their rate earn less.
+	// reliefThreshold is the load above which own sessions are lowered. At higher loads sessions get less
+	// than their rate, and those that get less than 0.98 of it are worth less.
 	reliefThreshold = 1.0
 	// deepReliefThreshold is the load above which sessions are lowered below their efficient rung too: at
-	// higher loads viewers leave.
+	// higher loads, where sessions get less than about 0.94 of their rate, viewers leave.
 	deepReliefThreshold = 1.06
 	// reliefTargetLoad is the load that relief aims at, so that no more is lowered than is in excess.
 	reliefTargetLoad = 0.97
@@ -67,7 +71,7 @@
 	// tickIntervalMs is the time between two checks of all loads, well under the 1 s after which viewers
 	// notice a shortage.
 	tickIntervalMs = 250.0
-	// raisePaybackFactor is how many times its cost a rung change must earn.
+	// raisePaybackFactor is how many times its cost a raise must be worth.
 	raisePaybackFactor = 2.0
 	// defaultRemainingS is the time in seconds that a session of unknown duration is assumed to go on.
 	defaultRemainingS = 15.0
@@ -76,17 +80,21 @@
 	// shortfallTolerance is the difference of rate shares up to which two shortfalls count as equal. Equal
 	// and simultaneous shortfalls point to the uplink of the rack.
 	shortfallTolerance = 0.04
-	// hungNodeLoad is the load, inferred from a rate share, above which the node is taken to hang.
+	// hungNodeLoad is the load, inferred from a rate share, above which the node is taken to hang: the
+	// shortfall is not attributed to the uplink, and no uplink capacity below UplinkKB/hungNodeLoad is
+	// inferred.
 	hungNodeLoad = 3.0
-	// uplinkRecoveryFactor is the growth per tick of an inferred uplink capacity back to the mean; 4% a
-	// second.
+	// uplinkRecoveryFactor is the growth per tick of an inferred uplink capacity back to Config.UplinkKB; 4%
+	// a second.
 	uplinkRecoveryFactor = 1.01
-	// furtherStepFit is the part of a further rung step that must fit into what is left to lower or raise.
-	// The first step that does not fit whole is taken at random, with the part that fits as probability.
-	furtherStepFit = 0.9
+	// minStepFraction is the fraction of a rung step, after the first, that the rate still to be freed or
+	// used must cover. The first step is taken at random if it is not covered whole, with the covered
+	// fraction as probability.
+	minStepFraction = 0.9
 	// rungHoldMs is the time for which a rung is not raised after a change, against flapping.
 	rungHoldMs = 4000.0
-	// loadReportAgeMs is the assumed age of a load report on arrival.
+	// loadReportAgeMs is the assumed age of a LoadReport on arrival. Config.ReportDelayMs is the age of the
+	// other kind of measurement, EvFeedback.
 	loadReportAgeMs = 400.0
 	// loadReportWeight is the weight of a load report against the current estimate: reports are noisy.
 	loadReportWeight = 0.5
@@ -98,7 +106,8 @@
 	minEjectionMs = 1000.0
 	// maxEjectionMs is the limit of the ejection time, before jitter.
 	maxEjectionMs = 8000.0
-	// fullHoldMs is the time for which a node that answered "full" fails the admission test.
+	// fullHoldMs is the time for which a node that answered "full" fails the admission test, so that requests
+	// go to other nodes meanwhile.
 	fullHoldMs = 1000.0
 	// staleLoadTarget is the load to which a higher stale measurement decays, so that low rungs are tried
 	// there again.
@@ -106,7 +115,7 @@
 	// staleLoadDecayMs is the time in which a stale measurement decays by two thirds.
 	staleLoadDecayMs = 3000.0
 	// staleGraceMs is the time past the configured report interval and delay after which a measurement is
-	// stale.
+	// stale: a report may be that late.
 	staleGraceMs = 1000.0
 	// streamDecayMs is the time in which the reported streams of other fronts decay by two thirds: this
 	// front does not see those sessions end.
@@ -119,23 +128,25 @@
 	// meanLoadWeight is the weight of one measurement in the mean link load: a single full node must not
 	// make a front refuse everything.
 	meanLoadWeight = 0.1
-	// nodeLogIntervalMs is the minimum time between two log lines about the same node.
+	// nodeLogIntervalMs is the minimum time between two log lines about the same node: a failing node would
+	// cause one for each attempt.
 	nodeLogIntervalMs = 2000.0
-	// removedNodeRetentionMs is the time for which a removed node is remembered.
+	// removedNodeRetentionMs is the time for which a removed node is remembered, with its failures and its
+	// warm-up, in case that it is listed again.
 	removedNodeRetentionMs = 60000.0
-	// maxPlacementTokens is the number of placement tokens kept: any number of titles that nobody holds can
-	// be asked for.
+	// maxPlacementTokens is the largest number of placement tokens kept, as any number of titles that no node
+	// holds can be asked for. At the limit all tokens are dropped.
 	maxPlacementTokens = 1 << 16
-	// tickTimerID is the Event.Timer and Action.Timer of tick.
+	// tickTimerID is the Event.TimerID and Action.TimerID of tick.
 	tickTimerID = 1
 )
 
-// failureTexts are the log texts of the outcomes that may be a node's fault.
+// failureTexts are the log texts of the outcomes that may be a node's fault. They are external.
 var failureTexts = map[Outcome]string{
 	OutcomeFailed:        "answers set-ups with errors",
 	OutcomeTimedOut:      "lets set-ups time out",
-	OutcomeConnectFailed: "takes no connections",
-	OutcomeReset:         "broke its sessions off",
+	OutcomeConnectFailed: "takes no connections",   // refuses connections, or lets them time out
+	OutcomeReset:         "broke its sessions off", // reset the connections of its sessions
 }
 
 // rateChange is a change of the front's own rates on a link or uplink, in kB/s at a time in ms.
@@ -147,7 +158,7 @@
 	capacityKB        float64      // assumed capacity in kB/s
 	ownRateKB         float64      // rate that the front's own sessions ask for, in kB/s
 	measuredLoad      float64      // last measured load: demand over capacity
-	measuredAt        float64      // when it was measured
+	measuredAt        float64      // when a load was measured, or an uplink's capacity inferred; 0 = never
 	measured          bool         // measuredLoad is set
 	lastReliefAt      float64      // time of the last relief; only a later measurement allows another one
 	unmeasuredChanges []rateChange // own changes that no measurement includes yet, by time
@@ -157,6 +168,7 @@
 func (e *loadEstimate) addOwnRate(now, kb float64) {
 	e.ownRateKB += kb
 	e.unmeasuredChanges = append(e.unmeasuredChanges, rateChange{now, kb})
+	// Without a measurement nothing else drops changes; 64 bounds the memory until the first one.
 	if len(e.unmeasuredChanges) > 64 && !e.measured {
 		e.unmeasuredChanges = e.unmeasuredChanges[1:]
 	}
@@ -197,8 +209,8 @@
 type nodeState struct {
 	Node
 	rack                *rackState
-	unavailable         bool    // draining or gone, from the moment the node list says so
-	removedAt           float64 // when the node list said that the node is gone; 0 while it is there
+	unavailable         bool    // draining or removed, from the moment the node list says so
+	removedAt           float64 // when the node list said that the node is removed; 0 while it is listed
 	link                loadEstimate
 	otherStreams        float64 // streams of other fronts as last reported; -1 before the first report
 	streamsReportedAt   float64 // time of that report
@@ -208,7 +220,7 @@
 	ejectedUntil        float64 // end of the ejection after a failure
 	fullUntil           float64 // end of the hold after a "full" answer
 	presumedDown        bool    // the whole node seems to have failed: it is cold when it plays again
-	suspectedFailure    bool    // one set-up failed or was reset; the next such one ejects the node
+	suspectedFailure    bool    // a set-up failed or was reset, and none has played since
 	warmUpStartedAt     float64 // start of the warm-up as far as known; 0 = warm
 	lastColdSetupAt     float64 // last set-up sent during a warm-up
 	lastLoggedAt        float64 // last log line about the node
@@ -243,7 +255,7 @@
 	playing               bool
 	mayHaveRun            bool       // an earlier attempt may have taken effect
 	unattributedErrorNode *nodeState // where an attempt failed, until the next one shows whose fault it was
-	errorCount            int        // attempts that ended with Failed
+	errorCount            int        // attempts that ended with OutcomeFailed
 	headroom              float64    // share of a node's streams that must stay free beside this session
 	attempts              int
 	attemptedNodes        []NodeID
@@ -297,6 +309,7 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
+	// The second word of the PCG seed is arbitrary; it selects the sequence of this package.
 	c := &Controller{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x6865616d)),
 		nodesByID: map[NodeID]*nodeState{}, sessions: map[SessionID]*sessionState{},
 		sessionsPerTitle: map[titleKey]int{}, placementTokens: map[uint64]*nodeState{},
@@ -409,7 +422,8 @@
 // assignLinkCapacities sets each node's link capacity by its weight or, where weights are not known, by its
 // kind's share of all streams. The capacity per stream is fixed by the first node list that is not empty.
 func (c *Controller) assignLinkCapacities() {
-	// Without configured stream limits all links count as equal.
+	// Without configured stream limits (infinite, cut to 1e6 to keep the arithmetic finite) all links count
+	// as equal.
 	size := func(node *nodeState) float64 { return min(c.streamLimit(node), 1e6) }
 	if c.linkKBPerStream == 0 {
 		total := 0.0
@@ -421,6 +435,7 @@
 	for _, node := range c.nodes {
 		node.link.capacityKB = size(node) * c.linkKBPerStream
 		if c.cfg.WeightsKnown && c.cfg.LinkKBPerWeight > 0 || node.link.capacityKB == 0 {
+			// At least 0.01 of a unit of weight, and the rate of the lowest rung: the capacity is a divisor.
 			node.link.capacityKB =
 				math.Max(math.Max(node.Weight, 0.01)*c.cfg.LinkKBPerWeight, c.cfg.RateKB[0])
 		}
@@ -436,7 +451,7 @@
 }
 
 // recordLinkLoad records a measured link load, also in the running mean that stands in for the load of nodes
-// without a measurement.
+// without a measurement. A load above 2 counts as 2 in the mean, as an outlier.
 func (c *Controller) recordLinkLoad(node *nodeState, at, load float64) {
 	node.link.recordMeasurement(at, load)
 	if node.link.measured {
@@ -483,7 +498,7 @@
 }
 
 // eject counts a failure and ejects the node for an exponential back-off with a jitter of 25%. It logs the
-// failure, rate-limited for each node.
+// failure, rate-limited for each node. The log text, which shows the ID as an address, is external.
 func (c *Controller) eject(node *nodeState, reason string) {
 	node.consecutiveFailures++
 	ejectionMs := math.Min(minEjectionMs*math.Pow(2, float64(node.consecutiveFailures-1)), maxEjectionMs)
@@ -592,8 +607,8 @@
 	return session
 }
 
-// handleExistingSession attaches a session that was under way before the front started. Its rate is part of
-// the first measurement, so it is not kept as an unmeasured change.
+// handleExistingSession attaches a session that plays already: one from before the front started, or one that
+// is adopted after a late answer. Measurements include its rate, so it is not kept as an unmeasured change.
 func (c *Controller) handleExistingSession(event *Event) {
 	session, node := c.newSession(event), c.nodesByID[event.Node]
 	if node == nil {
@@ -618,8 +633,8 @@
 	c.placeSession(session)
 }
 
-// eligibleHolders returns the nodes that hold the session's title and that both the rules and the circuit
-// breaker allow. The result is valid until the next call.
+// eligibleHolders returns the nodes that hold the session's title and that both the hard constraints and the
+// circuit breaker allow. The result is valid until the next call.
 func (c *Controller) eligibleHolders(session *sessionState) []*nodeState {
 	c.holderBuffer = c.holderBuffer[:0]
 	for i := 0; i < session.copies && i < len(c.nodesByCell); i++ {
@@ -632,9 +647,8 @@
 	return c.holderBuffer
 }
 
-// selectable is the circuit breaker: it excludes ejected nodes, and lets a node that has failed prove itself
-// with one set-up at a time, none of them of an AtMostOnce class. It also excludes nodes that the session
-// has attempted before.
+// selectable is the circuit breaker: it excludes ejected nodes, and sends a half-open node one set-up at a
+// time, none of them of an AtMostOnce class. It also excludes nodes that the session has attempted before.
 func (c *Controller) selectable(session *sessionState, node *nodeState) bool {
 	if c.now < node.ejectedUntil ||
 		(node.consecutiveFailures > 0 && (node.pendingSetups > 0 || session.class.Semantics == AtMostOnce)) {
@@ -652,8 +666,8 @@
 }
 
 // hasStreamCapacity reports whether the node has a free stream beside the session's headroom. Headroom
-// applies to streams only, not to rates: lowering rungs frees rate when it is needed, and unused rate earns
-// nothing.
+// applies to streams only, not to rates: lowering rungs frees rate when it is needed, and unused rate is
+// worth nothing.
 func (c *Controller) hasStreamCapacity(session *sessionState, node *nodeState) bool {
 	return c.now >= node.fullUntil &&
 		c.streamEstimate(node) < c.streamLimit(node)*(1-session.headroom)
@@ -667,7 +681,7 @@
 
 // placeSession sends the next attempt of a request at the highest rung that fits, starting at the one that
 // the shadow price allows, and moves the title's placement token to the chosen node. It rejects the request
-// if no rung fits, and at once if the viewer's highest rung is below the efficient one.
+// if no rung fits, and at once if the viewer's highest rung is below the class's lowest one.
 func (c *Controller) placeSession(session *sessionState) {
 	holders := c.eligibleHolders(session)
 	lowest := c.efficientRung(session)
@@ -734,14 +748,14 @@
 	return x ^ x>>31
 }
 
-// rungWorth is what a session earns per second at a rung.
+// rungWorth is the worth of a second of a session at a rung.
 func (c *Controller) rungWorth(session *sessionState, rung int) float64 {
 	return session.class.ValuePerSecond * c.cfg.RungWorth[rung]
 }
 
-// efficientRung is the rung that earns the most per kB. No session is set up below it: it would use capacity
-// that earns more in another session, and would force playing sessions down to their lowest rung, so that
-// all earn less.
+// efficientRung is the rung with the most worth per kB. No session is set up below it: it would use capacity
+// that is worth more in another session, and would force playing sessions down to their lowest rung, so that
+// all are worth less.
 func (c *Controller) efficientRung(session *sessionState) int {
 	best := session.class.MinRung
 	for rung := best + 1; rung <= session.maxRung; rung++ {
@@ -772,7 +786,7 @@
 
 // shadowPrice finds, by bisection, the price per kB/s at which all sessions on the holders, the new one
 // included, would just fill the holders' capacity. The front's own sessions stand for those of all fronts, so
-// the price does not depend on the number of fronts. Unlike the DALA scheme, placement starts at the rung
+// the price does not depend on the number of fronts. Unlike in the DALA scheme, placement starts at the rung
 // that this price allows and not at the viewer's highest one.
 func (c *Controller) shadowPrice(holders []*nodeState, session *sessionState) float64 {
 	middleRateKB := c.cfg.RateKB[len(c.cfg.RateKB)/2] * session.class.RateScale
@@ -785,7 +799,7 @@
 		capacityKB += c.effectiveCapacityKB(node) * setupLoadLimit
 	}
 	budgetKB := capacityKB * ownKB / demandKB
-	low, high := 0.0, c.maxPrice
+	low, high := 0.0, c.maxPrice // 20 halvings leave a millionth of the interval
 	for range 20 {
 		price := (low + high) / 2
 		sumKB := c.rateKB(session.class, c.rungAtPrice(session.class, session.maxRung, price))
@@ -823,8 +837,8 @@
 }
 
 // freeCapacity is called when no holder admits a new session at a rung. It returns the least-loaded holder
-// where lowering own sessions is enough, and lowers them; only sessions whose last kB earns less than the new
-// session would earn per kB are lowered. It returns nil if there is no such holder.
+// where lowering own sessions is enough, and lowers them; only sessions that lose less worth per kB than the
+// new session would have per kB are lowered. It returns nil if there is no such holder.
 func (c *Controller) freeCapacity(session *sessionState, holders []*nodeState, rung int,
 	kb float64) *nodeState {
 	sort.SliceStable(holders, func(i, j int) bool { return c.nodeLoad(holders[i]) < c.nodeLoad(holders[j]) })
@@ -850,10 +864,10 @@
 }
 
 // lowerRungs lowers sessions of lowerCandidates, each in one rung change and the one with the least loss per
-// kB first, until linkKB and uplinkKB are freed. Steps that lose maxLoss per kB or more are not taken. If at
-// is set, only sessions on that node free its link. With allOrNothing it changes no session and returns false
-// if it can't free enough.
-func (c *Controller) lowerRungs(linkKB, uplinkKB float64, at *nodeState, maxLoss float64,
+// kB first, until linkKB and uplinkKB are freed. Steps that lose maxLoss per kB or more are not taken. If
+// onNode is set, only sessions on that node free its link. With allOrNothing it changes no session and
+// returns false if it can't free enough.
+func (c *Controller) lowerRungs(linkKB, uplinkKB float64, onNode *nodeState, maxLoss float64,
 	allOrNothing bool) bool {
 	for _, candidate := range c.lowerCandidates {
 		candidate.plannedRung = candidate.rung
@@ -863,7 +877,7 @@
 		best, leastLoss := (*sessionState)(nil), maxLoss
 		for _, candidate := range c.lowerCandidates {
 			if loss := c.lossPerKB(candidate); loss < leastLoss &&
-				(linkKB <= 0 || at == nil || candidate.node == at) {
+				(linkKB <= 0 || onNode == nil || candidate.node == onNode) {
 				best, leastLoss = candidate, loss
 			}
 		}
@@ -876,9 +890,9 @@
 		}
 		kb := c.stepRateKB(best, best.plannedRung-1)
 		best.plannedRung--
-		requiredFit = furtherStepFit
+		requiredFit = minStepFraction
 		uplinkKB -= kb
-		if at == nil || best.node == at {
+		if onNode == nil || best.node == onNode {
 			linkKB -= kb
 		}
 	}
@@ -888,10 +902,10 @@
 	return true
 }
 
-// ---- attempts and rule guards ----
+// ---- attempts and hard constraints ----
 
-// setupAllowed holds the rules that forbid a set-up of a session on a node now. sendSetup checks it for every
-// set-up.
+// setupAllowed checks the hard constraints: the conditions under which a set-up of a session on a node is
+// forbidden now, whatever it would be worth. sendSetup checks them for every set-up.
 func (c *Controller) setupAllowed(session *sessionState, node *nodeState) bool {
 	// Draining or removed node; one attempt at a time; the viewer's deadline; the attempt limit.
 	if node.unavailable || session.node != nil || c.now >= session.deadline ||
@@ -924,15 +938,16 @@
 }
 
 // hasWarmUpSlot is the slow start of a node that warms up. It grants one set-up in each time slot, at the
-// node's slowest pace, and the slots rotate over the fronts, so that all fronts together keep to the pace
-// without any communication. Slots are counted on the clock that the fronts share and not from the node's
-// start, which fronts that saw the node fail date differently.
+// node's lowest set-up rate (Config.ColdRateFraction), and the slots rotate over the fronts, so that all
+// fronts together keep to that rate without any communication. Slots are counted on the clock that the fronts
+// share and not from the node's start, which fronts that saw the node fail date differently.
 //
 // A front's turn stays open for more than one slot, as a front with little traffic would miss it otherwise:
-// for as long as the 2*sqrt(n)+2 set-ups take that the node bears beyond its pace of n in ColdWindowMs, less
-// the time by which a connection may come up late. A turn that began before the front's first Step may have
-// been used before a restart, so it is not granted.
+// for as many slots as the node accepts set-ups beyond its rate, 2*sqrt(n)+2 in Config.ColdWindowMs, less
+// ConnectTimeoutMs, since a set-up may reach the node that much after its slot. A turn that began before the
+// front's first Step may have been used before a restart, so it is not granted.
 func (c *Controller) hasWarmUpSlot(node *nodeState) bool {
+	// A ColdRateFraction below 0.05 counts as 0.05.
 	slotMs := c.cfg.WarmUpMs / math.Max(c.streamLimit(node)*math.Max(c.cfg.ColdRateFraction, 0.05), 1)
 	if !(slotMs > 0) {
 		return false
@@ -969,8 +984,8 @@
 	return times[:copy(times, times[first:])]
 }
 
-// sendSetup starts an attempt, or rejects the request if a rule forbids it. It is the only place that emits a
-// set-up.
+// sendSetup starts an attempt, or rejects the request if setupAllowed forbids it. It is the only place that
+// emits a set-up.
 func (c *Controller) sendSetup(session *sessionState, node *nodeState, rung int) {
 	if !c.setupAllowed(session, node) {
 		c.rejectRequest(session)
@@ -978,6 +993,7 @@
 	}
 	timeoutMs := 0.0 // until the viewer gives up
 	if session.class.Semantics == Repeatable && session.attempts+1 < c.cfg.MaxAttempts {
+		// A TargetMs below 100 ms counts as 100 ms.
 		timeoutMs = math.Min(session.deadline-c.now, math.Max(session.class.TargetMs, 100)) *
 			attemptTimeoutShare
 	}
@@ -1074,7 +1090,8 @@
 // applyRateShare takes the share of their rates that a node's sessions got, if it is below 0.98, as a
 // measurement of a load of 1/share. It counts for the link, or for an uplink without measurements if two of
 // its nodes fall equally short within a short time and by more than their links explain; the uplink's
-// capacity is then inferred from the demand.
+// capacity is then inferred from the demand. 0.98 is the share below which a session is worth less; 0.03 is
+// the difference up to which the inferred load and the estimate count as equal.
 func (c *Controller) applyRateShare(node *nodeState, share float64) {
 	if share >= 0.98 || share <= 0 {
 		return
@@ -1124,9 +1141,10 @@
 }
 
 // attributeFailure decides whether a failure counts against the node. A malformed request fails on every
-// node, and single connections break for reasons of their own; counting these at once ejected healthy nodes
-// and made them warm up again. So a first Failed of a repeatable request is attributed by the outcome of its
-// next attempt, and other first errors and resets only make the node suspect.
+// node, and single connections break for reasons of their own; counting these at once would eject healthy
+// nodes and restart their warm-up. So a first OutcomeFailed of a repeatable request is attributed by the
+// outcome of its next attempt, and other first errors and resets only make the node suspect. Any other
+// failure is certain and ejects the node.
 func (c *Controller) attributeFailure(session *sessionState, node *nodeState, outcome Outcome, reason string,
 	wasPlaying bool) {
 	switch {
@@ -1144,7 +1162,8 @@
 	}
 }
 
-// suspectFailure records a failure that is probably the node's; the second in a row ejects it.
+// suspectFailure records a failure that is probably the node's. It ejects the node if another such failure
+// was recorded since a set-up last played there.
 func (c *Controller) suspectFailure(node *nodeState, reason string) {
 	if node.suspectedFailure {
 		c.eject(node, reason)
@@ -1186,10 +1205,10 @@
 	estimate.lastReliefAt = c.now
 }
 
-// raiseRungs raises playing sessions where capacity is free, the step that earns most per kB first and each
-// session in one change. On each new measurement of a link, a front uses the part of the free capacity that
-// its sessions have in the demand. A first step that does not fit whole is taken at random, so that many
-// fronts with few sessions each fill the capacity together.
+// raiseRungs raises playing sessions where capacity is free, the step with the most worth per kB first and
+// each session in one change. On each new measurement of a link, a front uses a fraction of the free capacity
+// equal to its sessions' fraction of the demand. A first step that does not fit whole is taken at random, so
+// that many fronts with few sessions each fill the capacity together.
 func (c *Controller) raiseRungs() {
 	for _, node := range c.nodes {
 		if len(node.sessions) == 0 || node.unavailable || c.now < node.ejectedUntil ||
@@ -1197,6 +1216,7 @@
 			continue
 		}
 		node.lastRaiseAt = c.now
+		// A load of at least 0.01: it is a divisor below.
 		load, reserved := math.Max(c.nodeLoad(node), 0.01), setupLoadLimit-raiseLoadLimit
 		if !node.rack.uplink.measured { // an uplink that is only inferred may be overloaded already
 			load, reserved = load+reserved, 0
@@ -1226,7 +1246,7 @@
 			}
 			freeKB -= c.stepRateKB(best, best.plannedRung)
 			best.plannedRung++
-			requiredFit = furtherStepFit
+			requiredFit = minStepFraction
 		}
 		for _, session := range node.sessions {
 			if c.raisePaysOff(session, session.plannedRung) {
@@ -1236,7 +1256,7 @@
 	}
 }
 
-// raisePaysOff reports whether a raise to a rung earns raisePaybackFactor times its cost before the
+// raisePaysOff reports whether a raise to a rung is worth raisePaybackFactor times its cost until the
 // session's expected end.
 func (c *Controller) raisePaysOff(session *sessionState, rung int) bool {
 	remainingS := defaultRemainingS
