--- a/decide/idempotency/ledger.go
+++ b/decide/idempotency/ledger.go
@@ -1,21 +1,22 @@
 // Package idempotency decides whether a viewer's request starts a new session or belongs to one that exists
 // already. A session token identifies one requested session by its jti, the idempotency key. The ledger holds
 // one entry for each key; it makes sure that every request gets exactly one answer and that a set-up of a paid
-// class is started again only where no attempt of it can have run.
+// class is started again only where no attempt of it can have run. Paid classes are those whose set-ups must not
+// run twice (headmill.AtMostOnce).
 //
 // The package is pure: time and events go in by Step, actions come out. It reads no clock, does no I/O and
 // starts no goroutine; the same events give the same actions. Placement, rungs and further attempts of a set-up
-// are decided by the decision module, not here.
+// are decided by the decision module (package headmill), not here.
 //
 // States of an entry, and what a request with the same key gets:
 //
 //	state           meaning                                   a request gets
 //	Pending         a set-up is wanted or in progress         the same answer as the other waiting requests
 //	Playing         the session plays                         the same session
-//	Unclaimed       it plays, but no viewer has been told     the same session; the entry is then Playing
+//	Unclaimed       it plays, but no viewer has its answer    the same session; the entry is then Playing
 //	OutcomeUnknown  it may have run; no answer so far         paid: AnswerFailed; others: a new set-up
 //	Ended           it ran and has ended                      paid: AnswerFailed; others: a new set-up
-//	NeverRan        it is proven not to have run              a new set-up
+//	NeverRan        it is proven not to have run              a new set-up; the entry is forgotten in the same Step
 //
 // A request whose fingerprint differs from that of the entry is failed in every state, and an EndRequested with
 // another fingerprint is ignored.
@@ -36,9 +37,9 @@
 //	any             ConnectionAttached, ConnectionDetached: counted.
 //	                LateSuccess that is not handled above: EndSession.
 //
-// An entry is forgotten as soon as it protects nothing: any in NeverRan, and one that is not paid in
-// OutcomeUnknown or Ended. A paid entry in these two states is forgotten by a Tick, LateAnswerMs after its token
-// has expired.
+// An entry is forgotten as soon as it is not needed to prevent a second set-up: any in NeverRan, and one that is
+// not paid in OutcomeUnknown or Ended. A paid entry in these two states is forgotten by a Tick, LateAnswerMs after
+// its token has expired.
 package idempotency
 
 import (
@@ -79,7 +80,7 @@
 	Request         RequestID
 	Key             string // jti of the session token
 	Fingerprint     uint64 // of what the token asks for: title, class, viewer
-	Paid            bool
+	Paid            bool   // the set-up must not run twice; see the package comment
 	ConnectionBound bool    // the new session lives only while a connection is attached, and DetachedTTLMs longer
 	TokenAgeMs      float64 // since the token was issued
 	TokenTTLMs      float64 // until the token expires
@@ -107,7 +108,7 @@
 	ReasonShuttingDown            // this director is shutting down
 )
 
-// reasonNames are the external names of the reasons, in the order of the constants.
+// reasonNames are the external names of the reasons, also in metrics and logs, in the order of the constants.
 var reasonNames = [...]string{"none", "box", "time", "unknown", "over", "earlier", "other", "reused", "full",
 	"crowd", "refused", "stopping"}
 
@@ -146,7 +147,7 @@
 	Directors       []string // names of all directors, the same list at each; paid tokens are shared out among them
 	MaxEntries      int      // entries in the ledger
 	MaxWaiters      int      // requests that may wait for one session
-	UnclaimedTTLMs  float64  // how long a session is kept that no viewer has been told about
+	UnclaimedTTLMs  float64  // how long a session is kept that no viewer has an answer for
 	DetachedTTLMs   float64  // how long a connection-bound session outlives its last connection
 	ClockSkewMs     float64  // largest difference from the token issuer's clock
 	RetryAfterMs    float64  // sent where the ledger itself refuses a request
@@ -154,7 +155,7 @@
 	StartedAtMs     float64  // time, as passed to Step, at which this director began to accept requests
 	FirstStart      bool     // no earlier run of this director can have accepted tokens
 	ShardPaid       bool     // paid tokens are accepted by their owner only; needs Directors
-	SweepIntervalMs float64  // how often Tick checks all entries; 0 means 250
+	SweepIntervalMs float64  // least time between two checks of all entries by Tick; 0 means 250
 }
 
 // State is the state of an entry; see the package comment.
@@ -170,7 +171,7 @@
 	StateNeverRan
 )
 
-// stateNames are the external names of the states, in the order of the constants.
+// stateNames are the external names of the states, also in metrics and logs, in the order of the constants.
 var stateNames = [...]string{"asked", "playing", "spare", "lost", "over", "void"}
 
 func (s State) String() string { return stateNames[s] }
@@ -303,7 +304,7 @@
 			return
 		}
 		l.restart(e, ev)
-	case StateNeverRan:
+	case StateNeverRan: // not seen here: forgetIfRepeatable has removed the entry
 		l.restart(e, ev)
 	}
 }
@@ -512,7 +513,8 @@
 	e.state, e.claimDeadline = StateUnclaimed, l.now+l.cfg.UnclaimedTTLMs
 }
 
-// forgetIfRepeatable removes an entry that protects nothing: its set-up may be repeated and none is in progress.
+// forgetIfRepeatable removes an entry that is not needed to prevent a second set-up: its set-up may be repeated and
+// none is in progress.
 // A paid entry is kept until its token has expired, unless it is proven not to have run.
 func (l *Ledger) forgetIfRepeatable(e *entry) {
 	if e.paid && e.state != StateNeverRan {
@@ -550,9 +552,9 @@
 	}
 }
 
-// evictExpired makes room for a new entry by sweeping at once: it forgets entries that are not in progress and
+// evictExpired makes space for a new entry by sweeping at once: it forgets entries that are not in progress and
 // whose tokens have expired. Other entries are never evicted: a flood of tokens must not make the ledger forget a
-// paid set-up. It tells whether there is room now.
+// paid set-up. It tells whether an entry was removed.
 func (l *Ledger) evictExpired() bool {
 	before := len(l.byKey)
 	l.lastSweepAt = 0
