--- a/decide/limits/capacity.go
+++ b/decide/limits/capacity.go
@@ -33,8 +33,8 @@
 // CapacityEstimator works out one director's part of the capacity of each cell: of the links, of what the uplinks of
 // the racks leave to them, both as far as set-ups may fill them, and of the streams.
 type CapacityEstimator struct {
-	Config  headmill.Config // that of the placement module
-	maxSize float64         // streams, or media nodes, of the largest node list so far, which Cfg.TotalLinkKB covers
+	Config  headmill.Config // that of the decision module
+	maxSize float64         // streams, or media nodes, of the largest node list so far, which Config.TotalLinkKB covers
 }
 
 // Estimate returns the capacity by cell; nodes are those of the node list.
--- a/decide/limits/limits.go
+++ b/decide/limits/limits.go
@@ -1,10 +1,10 @@
 // Package limits decides which session requests a director admits before the
-// placement module is asked. A request is refused because the director itself
-// is overloaded, because a tenant holds more than its share, or because one
-// title would starve the other titles of its tenant. The package also decides
-// how much headroom must stay free beside a session that is admitted on
-// borrowed capacity or as a retry, when a refused viewer should come again, and
-// which weight load balancers are told. Quotas counts resources against limits,
+// decision module (package headmill) is asked. A request is refused because the
+// director itself is overloaded, because a tenant holds more than its share, or
+// because one title would starve the other titles of its tenant. The package
+// also decides how much headroom must stay free beside a session that is
+// admitted on borrowed capacity or as a retry, when a refused viewer should
+// retry, and which weight load balancers are told. Quotas counts resources against limits,
 // RateLimiter bounds the pace of one source, and CapacityEstimator works out
 // the capacity that the tenants share.
 //
@@ -12,17 +12,23 @@
 // and all randomness comes from a seed. No request is queued: each is answered
 // in the Step that brings it.
 //
-// While the media nodes have capacity for all requests, every request is
-// admitted. Title shares, and the refusal of borrowing, apply only to titles
-// that the module refuses for lack of capacity: a title is held by some media
+// A request is a retry if the same request was refused within RetryMemoryMs,
+// and a new request otherwise. A tenant whose new requests ask for more rate
+// than its share has a rate factor below 1: its new sessions are admitted at
+// lower rungs, so that more of them fit.
+//
+// While the media nodes have capacity for all requests, a request is refused
+// only if the director is overloaded or the status is overShare (see below).
+// Title shares, and the refusal of borrowing, apply only to titles that the
+// decision module refuses for lack of capacity: a title is held by some media
 // nodes only, and the others may have plenty.
 //
 // States of a title (titleDemand.scarceUntil):
 //
 //	state   meaning                                   changes
-//	plenty  the module finds capacity for its         to scarce when, of at least minScarcePlacements recent
-//	        sessions; only tenant shares apply        placements, scarceRefusalRatio or more were refused
-//	scarce  the module refuses many of its sessions:  to plenty scarceHoldMs after the last placement refusal that
+//	plenty  the decision module finds capacity for    to scarce when, of at least minScarcePlacements recent
+//	        it; only tenant shares apply              placements, scarceRefusalRatio or more were refused
+//	scarce  it refuses many sessions of the title:    to plenty scarceHoldMs after the last placement refusal that
 //	        title shares apply, and nothing is lent   still met these conditions, or the last TitleOverShare refusal
 //
 // Status of a request against its tenant's share (shareStatus):
@@ -32,17 +38,19 @@
 //	             or holds less than its share on the title's cells
 //	borrowing    above its share, in capacity that others leave      Admitted with headroom and Borrowed set;
 //	                                                                 TenantOverShare if the title is scarce
-//	overShare    at MaxShare, or others leave too little             TenantOverShare
+//	overShare    at MaxShare, or above its share while the holdings  TenantOverShare
+//	             of all tenants leave too little
 //
 // What each event does:
 //
-//	Request           counts the demand of title and tenant (unless it is a retry) and is answered: DirectorOverloaded,
+//	Request           counts the demand of title and tenant unless it is a retry, and is answered: DirectorOverloaded,
 //	                  then TitleOverShare, then the share status
-//	PlacementRefused  counts a refusal by the module, which may make the title scarce; answered NoCapacity with advice
-//	SetupStarted      books the session, in equal parts on all cells that hold its title
-//	SessionStarted    counts a placement and books the session on the cell where it plays
+//	PlacementRefused  counts a refusal by the decision module, which may make the title scarce; answered NoCapacity
+//	                  with retry advice
+//	SetupStarted      counts what the session holds, in equal parts on all cells that hold its title
+//	SessionStarted    counts a placement, and what the session holds on the cell where it plays
 //	SessionEnded      releases what the session holds
-//	CapacityChanged   replaces the capacity of the cells and books all sessions anew
+//	CapacityChanged   replaces the capacity of the cells and recounts what all sessions hold
 //	LoadMeasured      updates the load of the director
 //	Tick              only lets time pass
 package limits
@@ -56,19 +64,19 @@
 	slotMs              = 250.0  // ms of a slot of the retry schedule, and between updates of rate factors
 	rateTimeConstantMs  = 2000.0 // ms in which a measured rate decays by two thirds
 	scarceRefusalRatio  = 0.05   // ratio of placements refused for lack of capacity from which a title is scarce
-	minScarcePlacements = 8.0    // recent placements below which the ratio of refusals means nothing
-	scarceHoldMs        = 1000.0 // ms that a title stays scarce after the last refusal by its share or by the module
-	rateFactorDecrease  = 0.2    // ratio by which a rate factor falls in a slot in which all first requests were refused
+	minScarcePlacements = 8.0    // recent placements below which the ratio of refusals is not significant
+	scarceHoldMs        = 1000.0 // ms that a title stays scarce after the last refusal that kept it scarce
+	rateFactorDecrease  = 0.2    // ratio by which a rate factor falls in a slot where all new requests lacked rate
 	rateFactorIncrease  = 1.1    // growth of a rate factor in a slot without such a refusal: 46% a second
-	demandTimeConstants = 3.0    // rate time constants over which the demand of a tenant is averaged
-	minTenantDemand     = 0.5    // decayed first requests below which a tenant without sessions counts as absent
-	overDemandRatio     = 1.5    // demand over that of another tenant, in proportion to their shares, that is too much
+	demandTimeConstants = 3.0    // multiple of rateTimeConstantMs over which the demand of a tenant is averaged: 6 s
+	minTenantDemand     = 0.5    // decayed new requests below which a tenant without sessions counts as absent
+	overDemandRatio     = 1.5    // ratio of two tenants' demand per share above which the first over-demands
 	maxHeadroom         = 0.5    // largest ratio of the capacity that is kept free from borrowing and retries
 	titleTimeConstantMs = 1000.0 // ms in which the count of a title's admitted sessions decays by two thirds
 	shedStartLoad       = 0.8    // load, as a ratio of the limit, from which requests are shed
-	shedAllLoad         = 1.5    // load, as a ratio of the limit, at which every new request is shed
+	shedAllLoad         = 1.5    // load, as a ratio of the limit, at which every request is shed
 	loadTimeConstantMs  = 1000.0 // ms in which the load follows a lower measurement by two thirds
-	expectedReturnRatio = 0.9    // ratio of refused viewers that come again
+	expectedRetryRatio  = 0.9    // ratio of refused viewers that are assumed to retry
 	titleShareSlack     = 2.0    // admitted sessions by which a title may exceed its equal share of the tenant
 )
 
@@ -81,7 +89,7 @@
 
 // Class describes one class of sessions.
 type Class struct {
-	Value, RateScale float64 // worth of a session; its rates over those of the ladder
+	Value, RateScale float64 // as headmill.Class.ValuePerSecond and RateScale
 	MinRung, MaxRung int
 }
 
@@ -90,10 +98,10 @@
 	Tenants         []Tenant // the last one also stands for names that are not listed
 	Classes         []Class
 	RateKB          []float64 // the ladder, kB/s
-	RungWorth       []float64 // what each rung earns
+	RungWorth       []float64 // as headmill.Config.RungWorth
 	MinRetryAfterMs float64   // shortest retry advice
 	MaxRetryAfterMs float64   // longest retry advice; 0: no advice is given
-	RetryMemoryMs   float64   // for how long a refused request is recognized when it comes again
+	RetryMemoryMs   float64   // for how long a refused request is recognized when it is retried
 	MaxRefusals     int       // refused requests that are remembered
 	FullLagMs       float64   // lag of the event loop that counts as full load; 0: ignored
 	FullQueue       float64   // waiting events that count as full load; 0: ignored
@@ -102,7 +110,7 @@
 	// must cover what is placed in that time.
 	PropagationMs float64
 	OthersShare   float64 // part of all placements made by other directors: only these are not known at once
-	AdmitAll      bool    // refuse nothing, for comparison
+	AdmitAll      bool    // disables admission control, as a baseline for benchmarks
 }
 
 // EventKind tells which fields of an Event are set.
@@ -114,7 +122,7 @@
 	SetupStarted                      // ID, Tenant, Class, FirstCell, Copies, MaxRung: session ID is being set up
 	SessionStarted                    // ID, RequestKey, Tenant, Title, FirstCell: session ID plays in cell FirstCell
 	SessionEnded                      // ID: the session holds nothing any more
-	PlacementRefused                  // ID, RequestKey, Tenant, Title: the module found no capacity; answered with advice
+	PlacementRefused                  // ID, RequestKey, Tenant, Title: the decision module found no capacity
 	CapacityChanged                   // Capacity: the media nodes have changed
 	LoadMeasured                      // LagMs, Queue, MemoryBytes
 	Tick                              // only time passes
@@ -124,11 +132,11 @@
 type Event struct {
 	Kind              EventKind
 	ID                uint64 // of the session
-	RequestKey        uint64 // identifies viewer and session wanted; the same when a viewer comes again
+	RequestKey        uint64 // identifies viewer and session wanted; the same in a retry
 	Title             uint64
 	Tenant, Class     int
 	FirstCell, Copies int // the first cell that holds the title, and how many in a row do
-	MaxRung           int // the viewer's highest rung; of SetupStarted: that of the Action
+	MaxRung           int // the viewer's highest rung; for SetupStarted: Action.MaxRung of the admission
 	LagMs, Queue      float64
 	MemoryBytes       float64
 	Capacity          []Capacity // by cell; only read during Step
@@ -143,9 +151,10 @@
 	DirectorOverloaded        // the director itself is over its limits
 	TenantOverShare           // the tenant holds its share, and what others leave is used
 	TitleOverShare            // the title has more than its part of the tenant's share
-	NoCapacity                // the module refused the placement; only the retry advice comes from this package
+	NoCapacity                // the decision module refused the placement; only the retry advice is from here
 )
 
+// reasonNames are the external names of the reasons, also in metrics and logs, in the order of the constants.
 var reasonNames = [...]string{"pass", "overload", "share", "title", "room"}
 
 func (r Reason) String() string { return reasonNames[r] }
@@ -167,12 +176,12 @@
 func (r *decayingRate) add(count float64) { r.perMs += count / rateTimeConstantMs }
 func (r *decayingRate) decay(ms float64)  { r.perMs *= math.Exp(-ms / rateTimeConstantMs) }
 
-// titleDemand is the measured demand for one title. The title is scarce while the module refuses it.
+// titleDemand is the measured demand for one title. The title is scarce while the decision module refuses it.
 type titleDemand struct {
-	placements, firstRequests decayingRate
-	triedCount, refusedCount  float64 // placements tried and refused, decayed over 2*slotMs
-	decayedAt                 float64
-	scarceUntil               float64
+	placements, newRequests  decayingRate
+	triedCount, refusedCount float64 // placements tried and refused, decayed over 2*slotMs
+	decayedAt                float64
+	scarceUntil              float64
 }
 
 // decayTo decays the figures up to now.
@@ -183,7 +192,7 @@
 	}
 	d.decayedAt = now
 	d.placements.decay(ms)
-	d.firstRequests.decay(ms)
+	d.newRequests.decay(ms)
 	factor := math.Exp(-ms / (2 * slotMs))
 	d.triedCount *= factor
 	d.refusedCount *= factor
@@ -200,9 +209,9 @@
 	demands              map[uint64]*titleDemand // by title
 	scarceTitles         []*titleDemand
 	scarcePlacements     float64 // placements per ms of scarce titles
-	scarceFirstRequests  float64 // first requests per ms for scarce titles
+	scarceNewRequests    float64 // new requests per ms for scarce titles
 	triedCount           float64 // placements tried of all titles, decayed over 2*slotMs
-	refusedCount         float64 // of these, those that the module refused
+	refusedCount         float64 // of these, those that the decision module refused
 	tenants              []*tenantState
 	cells                []Capacity          // this director's part of the capacity, by cell
 	total                Capacity            // the sum of cells
@@ -228,7 +237,7 @@
 		cfg.RateKB, cfg.RungWorth = []float64{1}, []float64{1}
 	}
 	a := &Admission{cfg: cfg, demands: map[uint64]*titleDemand{}, holdings: map[uint64]*holding{},
-		rng: rand.New(rand.NewPCG(seed, 0x6c696d69))}
+		rng: rand.New(rand.NewPCG(seed, 0x6c696d69))} // the second word is arbitrary
 	a.SetTenants(cfg.Tenants)
 	a.refusals.limit = max(cfg.MaxRefusals, 1)
 	a.classRanks, a.rankCount = rankClasses(cfg.Classes)
@@ -365,7 +374,7 @@
 }
 
 // scarcePlacementRate is the measured rate of placements of scarce titles per ms. A measurement that has just begun
-// is scaled up for the time that it lacks.
+// is scaled up for the time that it lacks, by at most 20 (1/0.05).
 func (a *Admission) scarcePlacementRate() float64 {
 	return a.scarcePlacements / math.Max(1-math.Exp(-(a.now-a.startedAt)/rateTimeConstantMs), 0.05)
 }
@@ -378,20 +387,21 @@
 	if a.now >= d.scarceUntil {
 		a.scarceTitles = append(a.scarceTitles, d)
 		a.scarcePlacements += d.placements.perMs
-		a.scarceFirstRequests += d.firstRequests.perMs
+		a.scarceNewRequests += d.newRequests.perMs
 	}
 	d.scarceUntil = a.now + scarceHoldMs
 }
 
-// refreshScarceTitles removes the titles that are no longer scarce, and forgets those that nobody asks for.
+// refreshScarceTitles removes the titles that are no longer scarce, and forgets the demand for titles that nobody has
+// asked for during 10 rate time constants, when less than a ten-thousandth of it is left.
 func (a *Admission) refreshScarceTitles() {
-	a.scarcePlacements, a.scarceFirstRequests = 0, 0
+	a.scarcePlacements, a.scarceNewRequests = 0, 0
 	kept := a.scarceTitles[:0]
 	for _, d := range a.scarceTitles {
 		if a.now < d.scarceUntil {
 			d.decayTo(a.now)
 			a.scarcePlacements += d.placements.perMs
-			a.scarceFirstRequests += d.firstRequests.perMs
+			a.scarceNewRequests += d.newRequests.perMs
 			kept = append(kept, d)
 		}
 	}
@@ -421,7 +431,7 @@
 	retried := a.refusals.contains(ev.RequestKey, a.now, a.cfg.RetryMemoryMs)
 	d := a.demand(ev.Title)
 	if !retried {
-		d.firstRequests.add(1)
+		d.newRequests.add(1)
 		t.demand.add(1 / demandTimeConstants)
 	}
 	if a.cfg.AdmitAll {
@@ -440,9 +450,9 @@
 	rateKB := a.sessionRateKB(ev.Class, action.MaxRung)
 	status, rateBound := a.checkShare(t, ev, rateKB)
 	if !retried {
-		t.firstRequests++
+		t.newRequests++
 	}
-	// Where the module finds no capacity there is none to lend, whatever the holdings say.
+	// Where the decision module finds no capacity there is none to lend, whatever the holdings say.
 	if status == overShare || status == borrowing && scarce {
 		if !retried {
 			t.recordRefusal(ev.Title, a.now)
@@ -459,7 +469,7 @@
 	return action
 }
 
-// refuse remembers a refused request and schedules its return.
+// refuse remembers a refused request and schedules its retry.
 func (a *Admission) refuse(ev *Event, reason Reason, retried bool) Action {
 	a.refusals.add(ev.RequestKey, a.now)
 	action := Action{ID: ev.ID, Reason: reason, Retried: retried}
@@ -470,8 +480,8 @@
 		action.RetryAfterMs = a.cfg.MaxRetryAfterMs
 		return action
 	}
-	// What first requests leave of the placements, at least a tenth of them, is for retries.
-	retriesPerSlot := math.Max(a.scarcePlacementRate()-a.scarceFirstRequests, a.scarcePlacementRate()*0.1) * slotMs
+	// Retries may use the placements that new requests do not need, but at least a tenth of all.
+	retriesPerSlot := math.Max(a.scarcePlacementRate()-a.scarceNewRequests, a.scarcePlacementRate()*0.1) * slotMs
 	action.RetryAfterMs = a.retries.reserve(a.now, a.cfg.MinRetryAfterMs, a.cfg.MaxRetryAfterMs, retriesPerSlot, a.rng)
 	return action
 }
--- a/decide/limits/limits_test.go
+++ b/decide/limits/limits_test.go
@@ -43,8 +43,8 @@
 	placed, requested  map[int]int      // by tenant
 	refusals           map[Reason]int
 	retryAfterMs       []float64
-	// First requests and retries that were placed while a title was scarce.
-	firstsPlaced, retriesPlaced int
+	// New requests and retries that were placed while a title was scarce.
+	newPlaced, retriesPlaced int
 }
 
 func newStreamPool(cfg Config, streams, sessionMs float64) *streamPool {
@@ -87,7 +87,7 @@
 			if action.Retried {
 				p.retriesPlaced++
 			} else {
-				p.firstsPlaced++
+				p.newPlaced++
 			}
 		}
 		setup := ev
@@ -182,7 +182,7 @@
 	}
 }
 
-// Two tenants that ask for ten times the capacity, in proportion to their shares, are left to the module.
+// Two tenants that ask for ten times the capacity, in proportion to their shares, are left to the decision module.
 func TestRushOfAllTenantsIsLeftToTheModule(t *testing.T) {
 	p := newStreamPool(testConfig(), 40, 1000)
 	for i := range 2000 {
@@ -257,7 +257,7 @@
 	}
 }
 
-// A tenant that asked once, long ago, and holds nothing does not limit the others: they are left to the module.
+// A tenant that asked once, long ago, and holds nothing does not limit the others: they are left to the decision module.
 func TestAbsentTenantDoesNotLimitOthers(t *testing.T) {
 	p := newStreamPool(testConfig(), 40, 1000)
 	p.request(0, 1, 1)
@@ -299,13 +299,13 @@
 	}
 }
 
-// First requests go before retries while not all fit: 16 first requests a second in bursts find capacity for 20, though
-// hundreds of viewers that were refused in a rush come again all the time.
-func TestFirstRequestsGoBeforeRetries(t *testing.T) {
+// New requests go before retries while not all fit: 16 new requests a second in bursts find capacity for 20, though
+// hundreds of viewers that were refused in a rush retry all the time.
+func TestNewRequestsGoBeforeRetries(t *testing.T) {
 	p := newStreamPool(Config{MaxRetryAfterMs: 1000, RetryMemoryMs: 1e5, MaxRefusals: 10000, PropagationMs: 200,
 		OthersShare: 1}, 20, 1000)
-	var refused []uint64 // keys of refused requests, which come again
-	firsts, firstsPlaced, retries, retriesPlaced := 0, 0, 0, 0
+	var refused []uint64 // keys of refused requests, which are retried
+	newRequests, newPlaced, retries, retriesPlaced := 0, 0, 0, 0
 	request := func(key uint64) bool {
 		ok, _ := p.request(0, key, key%5)
 		if !ok {
@@ -323,8 +323,8 @@
 		if i%50 < 8 {
 			ok := request(uint64(i))
 			if i > 500 {
-				if firsts++; ok {
-					firstsPlaced++
+				if newRequests++; ok {
+					newPlaced++
 				}
 			}
 		}
@@ -339,9 +339,9 @@
 			}
 		}
 	}
-	if f, r := float64(firstsPlaced)/float64(firsts), float64(retriesPlaced)/float64(retries); f < 0.9 || r > 0.2 ||
+	if f, r := float64(newPlaced)/float64(newRequests), float64(retriesPlaced)/float64(retries); f < 0.9 || r > 0.2 ||
 		retriesPlaced == 0 {
-		t.Errorf("first requests %.2f, retries %.2f (%d) admitted", f, r, retriesPlaced)
+		t.Errorf("new requests %.2f, retries %.2f (%d) admitted", f, r, retriesPlaced)
 	}
 }
 
@@ -393,7 +393,7 @@
 	cfg := testConfig()
 	for name, c := range map[string]struct {
 		ev   Event
-		want []bool // shed: free retry, free first request, paid retry, paid first request
+		want []bool // shed: free retry, free new request, paid retry, paid new request
 	}{
 		"calm":          {Event{LagMs: 70, Queue: 700}, []bool{false, false, false, false}},
 		"lag":           {Event{LagMs: 85}, []bool{true, false, false, false}},
--- a/decide/limits/load.go
+++ b/decide/limits/load.go
@@ -42,7 +42,7 @@
 }
 
 // shouldShed tells whether a request is refused to relieve the director. The cheapest refusals come first: by worth
-// of the class, and among equal worth retries before first requests.
+// of the class, and among equal worth retries before new requests.
 func (a *Admission) shouldShed(class int, retried bool) bool {
 	if a.currentLoad < shedStartLoad {
 		return false
--- a/decide/limits/retry.go
+++ b/decide/limits/retry.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// retrySchedule spreads the returns of refused viewers over time, so that the wave of returns is as flat as the
-// capacity allows. It is a ring of slots with the number of returns that are expected in each.
+// retrySchedule spreads the retries of refused viewers over time, so that the wave of retries is as flat as the
+// capacity allows. It is a ring of slots with the number of retries that are expected in each.
 type retrySchedule struct {
 	slots     []float64
 	firstSlot int64 // number of the first slot, which is at index firstSlot % len(slots)
@@ -32,10 +32,10 @@
 	}
 }
 
-// reserve finds the earliest slot between minMs and maxMs from now that has capacity for another return, else the
-// emptiest of the later two thirds, and returns the delay to a random time in it, so that the returns of a slot don't
-// come at one moment. If no slot has capacity, an early return would only be refused again, as happened in a rush over
-// sockets.
+// reserve finds the earliest slot between minMs and maxMs from now that has capacity for another retry, else the
+// emptiest of the later two thirds, and returns the delay to a random time in it, so that the retries of a slot don't
+// come at one moment. If no slot has capacity, an early retry would only be refused again, as happened in a rush of
+// requests over sockets.
 func (s *retrySchedule) reserve(now, minMs, maxMs, slotCapacity float64, rng *rand.Rand) float64 {
 	maxMs = math.Min(math.Max(maxMs, 0), float64(scheduleSlots-2)*slotMs)
 	minMs = math.Min(math.Max(minMs, 0), maxMs)
@@ -43,7 +43,7 @@
 	best, equals := int64(-1), 0.0
 	for slot := from; slot <= to; slot++ {
 		n := s.slots[slot%scheduleSlots]
-		if n+expectedReturnRatio <= slotCapacity {
+		if n+expectedRetryRatio <= slotCapacity {
 			best = slot
 			break
 		}
@@ -59,7 +59,7 @@
 			}
 		}
 	}
-	s.slots[best%scheduleSlots] += expectedReturnRatio
+	s.slots[best%scheduleSlots] += expectedRetryRatio
 	delay := (float64(best)+rng.Float64())*slotMs - now
 	return math.Min(math.Max(delay, minMs), maxMs)
 }
--- a/decide/limits/shares.go
+++ b/decide/limits/shares.go
@@ -8,9 +8,9 @@
 
 // Tenants share the capacity that sessions hold, not the number of admissions: a session holds its capacity until it
 // ends, and once the media nodes are full each stream that comes free goes to whoever asks most often. A session
-// counts at the highest rung that it may have, so that a tenant whose sessions were lowered to the minimum rung does
-// not look small. Of the two resources that run short, rate and streams, the one counts of which the tenant holds the
-// larger part: dominant resource fairness (Ghodsi et al., NSDI 2011).
+// counts at the highest rung that it may have, so that a tenant whose sessions were lowered to the minimum rung is
+// not under-counted. Of the two resources that run short, rate and streams, the one counts of which the tenant holds
+// the larger part: dominant resource fairness (Ghodsi et al., NSDI 2011).
 
 // holding is what one session holds: all of it in one cell or, while the session is set up, an equal part in each
 // cell where it could play.
@@ -34,7 +34,7 @@
 	a.forEachCell(h.firstCell, h.copies, func(cell int) { h.tenant.heldByCell[cell].add(Capacity{h.rateKB, 1}, factor/n) })
 }
 
-// startSetup books a session that is being set up.
+// startSetup counts what a session that is being set up holds for its tenant.
 func (a *Admission) startSetup(ev *Event) {
 	a.removeHolding(ev.ID)
 	h := &holding{tenant: a.tenant(ev.Tenant), firstCell: ev.FirstCell, copies: max(ev.Copies, 1),
@@ -65,7 +65,7 @@
 	}
 }
 
-// recomputeHoldings books all sessions anew, after cells or tenants have changed.
+// recomputeHoldings recounts what all sessions hold, after cells or tenants have changed.
 func (a *Admission) recomputeHoldings() {
 	a.total = Capacity{}
 	for _, cell := range a.cells {
@@ -95,8 +95,8 @@
 )
 
 // overDemands tells whether a tenant asks for much more than another one in proportion to their shares, beyond the
-// random variation of counts over a few seconds. Where all ask alike, however much, no tenant's share is in danger:
-// the module adjusts the rungs.
+// random variation of counts over a few seconds (two standard deviations, 2*sqrt(count)). Where all ask alike, however
+// much, no tenant is displaced from its share: the decision module adjusts the rungs.
 func (a *Admission) overDemands(t *tenantState) bool {
 	const demandMs = rateTimeConstantMs * demandTimeConstants
 	for _, other := range a.tenants {
@@ -115,8 +115,9 @@
 
 // checkShare tells the status of one more session of the tenant on the cells that hold its title. A tenant is within
 // its share if it does not over-demand, or holds less than its share there. Above it, the holdings of all tenants
-// must leave capacity for the request and the headroom, below the load up to which the module raises rungs: borrowed
-// capacity costs no owner a rung. rateBound tells that the tenant holds a larger part of the rate than of the streams.
+// must leave capacity for the request and the headroom, below the load up to which the decision module raises rungs:
+// above that load, borrowing would keep it from raising the rungs of the tenants that lend. rateBound tells that the
+// tenant holds a larger part of the rate than of the streams.
 func (a *Admission) checkShare(t *tenantState, ev *Event, rateKB float64) (status shareStatus, rateBound bool) {
 	if len(a.tenants) < 2 || len(a.cells) == 0 {
 		return withinShare, false
@@ -138,6 +139,7 @@
 		return withinShare, rateBound
 	}
 	heldByAll.add(Capacity{rateKB, 1}, 1)
+	// The capacity of a cell is what fills it to MaxSetupLoad, so a share of 1 is that load.
 	if heldByAll.dominantShare(available)+a.headroom() <= headmill.MaxRaiseLoad/headmill.MaxSetupLoad {
 		return borrowing, rateBound
 	}
@@ -150,10 +152,10 @@
 	return a.cfg.RateKB[min(max(rung, c.MinRung, 0), len(a.cfg.RateKB)-1)] * c.RateScale
 }
 
-// maxRung is the highest rung that the session of a request may have. If the first requests of a tenant don't all fit
+// maxRung is the highest rung that the session of a request may have. If the new requests of a tenant don't all fit
 // into its share, its new sessions are admitted at lower rungs, so that more of them play in the same capacity. The
-// rung is never below the one that earns most per kB, and is drawn at random between two rungs so that the mean rate
-// is the one that fits. Without such a limit it is the viewer's own.
+// rung is never below the one with the most worth per kB, and is drawn at random between two rungs so that the mean
+// rate is the one that fits. Without such a limit it is the viewer's own.
 func (a *Admission) maxRung(t *tenantState, ev *Event) int {
 	class := &a.cfg.Classes[min(max(ev.Class, 0), len(a.cfg.Classes)-1)]
 	highest := min(ev.MaxRung, class.MaxRung, len(a.cfg.RateKB)-1)
@@ -181,8 +183,9 @@
 }
 
 // headroom is the ratio of the capacity that borrowing and retries must leave free: what is placed within the time
-// until it would be known here (trunk reservation, as in loss networks). The rate of requests would be no measure: in
-// a rush it exceeds what ever comes free, and half of the capacity would stay empty.
+// until it would be known here (trunk reservation, as in loss networks). It follows the rate of sessions that start
+// and not the rate of requests: in a rush of requests that exceeds what ever comes free, and half of the capacity
+// would stay empty.
 func (a *Admission) headroom() float64 {
 	if a.total.RateKB <= 0 {
 		return 0
--- a/decide/limits/tenants.go
+++ b/decide/limits/tenants.go
@@ -7,9 +7,9 @@
 	Tenant
 	normalizedShare float64      // its share of the sum of all shares
 	heldByCell      []Capacity   // by cell
-	demand          decayingRate // first requests per ms
+	demand          decayingRate // new requests per ms
 	rateFactor      float64      // part of its viewers' full rates at which its demand would fit into its share
-	firstRequests   float64      // since the last update of rateFactor
+	newRequests     float64      // since the last update of rateFactor
 	rateRefusals    float64      // of these, those refused for lack of rate
 	sessionCount    int
 	titles          map[uint64]*titleUsage
@@ -22,15 +22,15 @@
 	lastRefusedAt       float64 // 0: never
 }
 
-// updateRateFactor is called once a slot. It lowers rateFactor, by at most a fifth, in proportion to the first
+// updateRateFactor is called once a slot. It lowers rateFactor, by at most a fifth, in proportion to the new
 // requests that were refused for lack of rate, and raises it slowly if none was. rateFactor never falls below lowest.
 func (t *tenantState) updateRateFactor(lowest float64) {
 	if t.rateRefusals > 0 {
-		t.rateFactor = math.Max(t.rateFactor*(1-rateFactorDecrease*t.rateRefusals/t.firstRequests), lowest)
+		t.rateFactor = math.Max(t.rateFactor*(1-rateFactorDecrease*t.rateRefusals/t.newRequests), lowest)
 	} else {
 		t.rateFactor = math.Min(t.rateFactor*rateFactorIncrease, 1)
 	}
-	t.firstRequests, t.rateRefusals = 0, 0
+	t.newRequests, t.rateRefusals = 0, 0
 }
 
 // titleUsage finds the usage of a title, decayed up to now, and forgets titles that were not asked for lately.
@@ -53,7 +53,7 @@
 	return usage
 }
 
-// recordRefusal notes that a first request for a title was refused.
+// recordRefusal notes that a new request for a title was refused.
 func (t *tenantState) recordRefusal(title uint64, now float64) {
 	t.titleUsage(title, now).lastRefusedAt = now
 }
