--- a/decide/attempt/attempt.go
+++ b/decide/attempt/attempt.go
@@ -14,13 +14,13 @@
 //	Waiting       a connection is being opened, or a pooled one is about to be written on
 //	              Start: Write on a pooled connection, else Dial. Connected: Write.
 //	              BytesWritten: Sent, if at least one byte.
-//	              ConnectionClosed: Dial if it was a pooled connection; else Closed, ConnectFailed.
-//	              DeadlineExceeded, Cancelled: Closed, ConnectFailed, CloseConnection.
-//	Sent          at least one byte of the set-up has been written
+//	              ConnectionClosed: Dial if it was a pooled connection; else Closed, NeverSent.
+//	              DeadlineExceeded, Cancelled: Closed, NeverSent, CloseConnection.
+//	Sent          at least one byte of the set-up has been written, and no answer has arrived
 //	              ResponseHead: Answering.
 //	              ResponseComplete: Playing or Settled, with the answer's outcome and KeepConnection.
 //	              ConnectionClosed: Closed, Reset.
-//	              DeadlineExceeded, Cancelled: TimedOut or Cancelled; a paid attempt is then AwaitingLate,
+//	              DeadlineExceeded, Cancelled: TimedOut or Cancelled; a Paid attempt is then AwaitingLate,
 //	              any other Closed, with CloseConnection.
 //	Answering     the head of the answer has arrived; events as in Sent
 //	Playing       the media node answered that the session plays; nothing more is expected
@@ -41,7 +41,7 @@
 	Start            EventKind = iota // Reused: a pooled connection is available, else one is to be opened
 	Connected                         // the new connection is established
 	BytesWritten                      // Bytes of the set-up that the kernel has accepted so far
-	ResponseHead                      // Status of the answer
+	ResponseHead                      // Status: the head of the answer has arrived
 	ResponseComplete                  // Status, NeverRan: the whole answer has arrived
 	ConnectionClosed                  // the connection closed or could not be opened
 	DeadlineExceeded                  // the attempt's time limit has passed
@@ -54,26 +54,26 @@
 	Kind     EventKind
 	Reused   bool
 	Bytes    int64
-	Status   int  // HTTP status code
+	Status   int  // HTTP status code; callers with another protocol give the equivalent one
 	NeverRan bool // the media node answered that nothing of this set-up ran
 }
 
 // Outcome is the result of an attempt.
 type Outcome uint8
 
-// The outcomes. OutcomeFull and OutcomeConnectFailed prove that nothing ran.
+// The outcomes. OutcomeFull and OutcomeNeverSent prove that nothing ran.
 const (
 	OutcomeNone Outcome = iota
 	OutcomePlaying
 	OutcomeFull      // the media node answered that it is full and nothing ran
-	OutcomeNeverSent // no byte of the set-up was written
+	OutcomeNeverSent // no byte of the set-up was written: the connect failed, or the attempt ended before
 	OutcomeError     // an answer that is not a success and proves nothing
 	OutcomeReset     // the connection closed after a byte had been written
 	OutcomeTimedOut
 	OutcomeCancelled
 )
 
-// outcomeNames are the external names of the outcomes, in the order of the constants.
+// outcomeNames are the external names of the outcomes, also in metrics and logs, in the order of the constants.
 var outcomeNames = [...]string{"none", "plays", "full", "connect_failed", "error", "reset", "timed_out", "cancelled"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
@@ -115,15 +115,16 @@
 	StateClosed
 )
 
-// stateNames are the external names of the states, in the order of the constants.
+// stateNames are the external names of the states, also in metrics and logs, in the order of the constants.
 var stateNames = [...]string{"waiting", "sent", "answering", "playing", "settled", "listening", "closed"}
 
 func (s State) String() string { return stateNames[s] }
 
 // Attempt is the state of one set-up sent to a media node. The zero value is ready for Start.
 type Attempt struct {
-	// Paid attempts wait for a late answer after their time limit: a late success is worth knowing, since the
-	// session must not be set up again. The connections of others are closed, so that the media node stops its work.
+	// Paid attempts are those of a class whose set-ups must not run twice (headmill.AtMostOnce). After their time
+	// limit they wait for a late answer: a late success must be known, as the session must not be set up again. The
+	// connections of others are closed, so that the media node stops its work.
 	Paid    bool
 	state   State
 	outcome Outcome
@@ -206,9 +207,9 @@
 // set-up may have run.
 func responseOutcome(ev Event) Outcome {
 	switch {
-	case ev.Status == 201:
+	case ev.Status == 201: // Created
 		return OutcomePlaying
-	case ev.Status == 503 && ev.NeverRan:
+	case ev.Status == 503 && ev.NeverRan: // Service Unavailable
 		return OutcomeFull
 	}
 	return OutcomeError
--- a/decide/connmgr/connmgr.go
+++ b/decide/connmgr/connmgr.go
@@ -1,21 +1,23 @@
 // Package connmgr decides which viewer connections a director keeps: which one is closed when the limit is reached,
 // which ones are closed because they sent no request or were idle, and which one carries a message that belongs to
-// no connection. Sessions that play do not depend on a connection; set-ups do, so a connection that carries a set-up
-// is never closed.
+// no connection: the release of a session whose connection has closed. Sessions that play do not depend on a
+// connection; set-ups do, so a connection that carries a set-up is never closed.
 //
 // The package is pure: events and their time (ms) go in by Step, the connections to close come out.
 //
-// States of a connection, and what the events do:
+// States of a connection, which follow from requestRead and pendingSetups, and what the events do:
 //
-//	NoRequest  no readable set-up has been received
+//	NoRequest  no valid request (for a set-up) has been received
 //	           RequestRead: Idle. Tick: closed ReadTimeoutMs after it was accepted.
 //	Idle       it carries no set-up now
 //	           Tick: closed after IdleTimeoutMs without a byte received and without a session on it.
 //	Busy       it carries set-ups in progress; it is not closed
-//	any        LoadChanged: Busy if it carries set-ups, else NoRequest or Idle as before.
+//	not Busy   Tick: closed when a message has been incomplete for ReadTimeoutMs.
+//	any        UseChanged: Busy if it carries set-ups, else NoRequest or Idle as before.
 //	           Received: restarts the idle time-out. Closed: removed.
-//	any but    Tick: closed when a message has been incomplete for ReadTimeoutMs.
-//	Busy       Accepted, at MaxConns: the least valuable one is closed, or the new one if all are Busy.
+//
+// Accepted adds a new connection. At MaxConns the least valuable one that is not Busy is closed, or the new one if all
+// are Busy.
 package connmgr
 
 // ConnID is the caller's ID of a connection.
@@ -35,8 +37,8 @@
 const (
 	Accepted    EventKind = iota // Conn
 	Received                     // Conn; Partial: bytes arrived, and a message is still incomplete
-	RequestRead                  // Conn: a readable set-up was received
-	UseChanged                   // Conn, PendingSetups, Sessions: what it carries from now on
+	RequestRead                  // Conn: a valid request was received
+	UseChanged                   // Conn, PendingSetups, Sessions: how many it carries from now on
 	Closed                       // Conn
 	Tick                         // time passes
 )
@@ -55,12 +57,12 @@
 // The reasons.
 const (
 	LimitReached      CloseReason = iota // MaxConns is reached, and this connection is the least valuable
-	NoRequest                            // no readable set-up within ReadTimeoutMs
+	NoRequest                            // no valid request within ReadTimeoutMs
 	IncompleteMessage                    // a message was not completed within ReadTimeoutMs
-	IdleTimeout
+	IdleTimeout                          // nothing was received, and no session played on it, for IdleTimeoutMs
 )
 
-// closeReasonNames are the external names of the reasons, in the order of the constants.
+// closeReasonNames are the external names of the reasons, also in metrics and logs, in the order of the constants.
 var closeReasonNames = [...]string{"crowded", "silent", "unended", "rested"}
 
 func (r CloseReason) String() string { return closeReasonNames[r] }
--- a/decide/discovery/discovery.go
+++ b/decide/discovery/discovery.go
@@ -1,11 +1,11 @@
-// Package discovery decides what a director believes of the node list: which
-// message of the discovery service is applied, which is stale or has a gap
-// before it, and when a media node has restarted. It turns messages into the
-// events that the placement module takes.
+// Package discovery keeps a director's node list: it decides which message of
+// the discovery service is applied, which is stale or has a gap before it, and
+// when a media node has restarted. It turns messages into the events that the
+// decision module (package headmill) takes.
 //
 // The package is pure: Apply takes a message with its time, and returns a
-// verdict and the event. Names or addresses of media nodes become ids here, once
-// and for all.
+// verdict and the event. The IDs of media nodes are made only here, from their
+// names or addresses.
 //
 // What becomes of a message:
 //
@@ -61,7 +61,7 @@
 
 // Message is one message of the discovery service. Versions rise by one within an epoch.
 type Message struct {
-	Epoch   string // changes when the service has lost its count of versions
+	Epoch   string // changes when the service has restarted its version numbers
 	Version uint64
 	Full    bool // Entries is the whole list, and not a delta
 	Entries []Entry
@@ -78,13 +78,14 @@
 	Invalid          // not usable as a whole; the old list stays
 )
 
+// verdictNames are the external names of the verdicts, also in metrics and logs, in the order of the constants.
 var verdictNames = [...]string{"taken", "stale", "gap", "bad"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
 // Config bounds the list and the values of its entries.
 type Config struct {
-	MaxNodes int
+	MaxNodes int // limit of the entries of a message, and half the limit of the list and a delta together
 	Cells    int
 	Kinds    int // 0: any
 	// VersionsMayRestart says that versions may start again without a new epoch, and that old messages may arrive
@@ -93,12 +94,12 @@
 }
 
 // maxContradictions is how many messages in a row must contradict the list before the last of them is accepted: a
-// single one is an old message that arrived late, a second one shows that the list itself is of another count of
-// versions.
+// single one is an old message that arrived late, a second one shows that the service has restarted its version numbers
+// since the list was received.
 const maxContradictions = 2
 
-// bootKey identifies one start of a media node at one address. A drain of it is never taken back, whatever an older
-// message says.
+// bootKey identifies one start of a media node at one address. A drain of it is remembered for drainMemoryMs after the
+// last message that had it, whatever other messages say.
 type bootKey struct {
 	id        headmill.NodeID
 	addr      string
@@ -106,7 +107,8 @@
 	bootID    string
 }
 
-// drainMemoryMs is for how long a drain is remembered after the last message that had it.
+// drainMemoryMs is for how long, in ms, a drain is remembered after the last message that had it. It bounds the memory;
+// later a message may make the media node ready again.
 const drainMemoryMs = 300000.0
 
 // listedNode is a media node of the list. The State of its Entry may have been changed to draining.
@@ -117,7 +119,7 @@
 	startedAt float64 // start of the present boot on the director's clock; 0: long ago
 }
 
-// List is the node list that the director believes.
+// List is the node list in force.
 type List struct {
 	cfg            Config
 	epoch          string
@@ -139,7 +141,7 @@
 // Len is the number of media nodes on the list.
 func (l *List) Len() int { return len(l.nodes) }
 
-// Addr is the address of a media node; for one that is not listed, the address that its id encodes.
+// Addr is the address of a media node; for one that is not listed, the address that an ID of ParseNodeID encodes.
 func (l *List) Addr(id headmill.NodeID) string {
 	if node := l.nodes[id]; node != nil {
 		return node.Addr
@@ -182,7 +184,7 @@
 	return 0
 }
 
-// Nodes returns the list in the placement module's form, sorted by id.
+// Nodes returns the list in the decision module's form, sorted by ID.
 func (l *List) Nodes() []headmill.Node {
 	out := make([]headmill.Node, 0, len(l.nodes))
 	for _, node := range l.nodes {
@@ -192,34 +194,34 @@
 	return out
 }
 
-// FormatAddr is the address that an id of ParseNodeID encodes.
+// FormatAddr is the address that an ID of ParseNodeID encodes: 4 address bytes and a port, 48 bits.
 func FormatAddr(id headmill.NodeID) string {
 	return fmt.Sprintf("%d.%d.%d.%d:%d", id&255, id>>8&255, id>>16&255, id>>24&255, id>>32&65535)
 }
 
-// ParseNodeID makes the id of a media node from its address.
+// ParseNodeID makes the ID of a media node from its address.
 func ParseNodeID(addr string) (headmill.NodeID, error) {
 	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil || !addrPort.Addr().Is4() || addrPort.Port() == 0 {
-		return 0, fmt.Errorf("fleet: box address %q is not IPv4:PORT", addr) // operators' tools match this text
+		return 0, fmt.Errorf("fleet: box address %q is not IPv4:PORT", addr) // external: operators' tools match it
 	}
 	ip := addrPort.Addr().As4()
 	return headmill.NodeID(ip[0]) | headmill.NodeID(ip[1])<<8 | headmill.NodeID(ip[2])<<16 |
 		headmill.NodeID(ip[3])<<24 | headmill.NodeID(addrPort.Port())<<32, nil
 }
 
-// NodeIDFromName makes the id of a media node from its name. It is the same at every director, whatever addresses they
-// reach the media node at.
+// NodeIDFromName makes the ID of a media node from its name: a hash, cut to the 48 bits that IDs of ParseNodeID have.
+// It is the same at every director, whatever addresses they reach the media node at.
 func NodeIDFromName(name string) headmill.NodeID {
 	return headmill.NodeID(xxhash.Sum64String(name) >> 16)
 }
 
-// Apply judges a message at now (ms), and applies it to the list if it is Accepted. ev is for the placement module if
+// Apply checks a message at now (ms), and applies it to the list if it is Accepted. ev is for the decision module if
 // the message is Accepted or ev has nodes, as a Stale message may still have drains. The caller owns ev.
 func (l *List) Apply(now float64, m *Message) (ev headmill.Event, verdict Verdict, err error) {
 	if l.hasList && m.Epoch == l.epoch {
 		switch {
-		case l.cfg.VersionsMayRestart && m.Full: // judged by its contents below
+		case l.cfg.VersionsMayRestart && m.Full: // its contents decide, below
 		case m.Version < l.version, m.Version == l.version && !m.Full:
 			return ev, Stale, nil
 		case !m.Full && m.Version != l.version+1:
@@ -241,6 +243,8 @@
 		seen[node.id] = true
 		nodes = append(nodes, node)
 	}
+	// Entries of a delta may replace or remove listed ones, so list and delta together may have twice MaxNodes. The
+	// error tells the length of the message.
 	if n := len(nodes); n > l.cfg.MaxNodes || !m.Full && len(l.nodes)+n > 2*l.cfg.MaxNodes {
 		return ev, Invalid, fmt.Errorf("discovery: version %d has %d media nodes, over the limit of %d",
 			m.Version, n, l.cfg.MaxNodes)
@@ -264,7 +268,7 @@
 		if node.State == "gone" {
 			delete(l.nodes, node.id)
 			if m.Full {
-				continue // to the module, a node that is missing from a full list is gone
+				continue // to the decision module, a node that is missing from a full list is removed
 			}
 		} else {
 			l.nodes[node.id] = node
@@ -276,7 +280,7 @@
 }
 
 // trackDrains remembers the drains of a message, changes ready nodes to draining whose drain is remembered, and
-// forgets the drains that no message had for long.
+// forgets the drains that no message has had for drainMemoryMs.
 func (l *List) trackDrains(now float64, nodes []*listedNode) {
 	if !l.cfg.VersionsMayRestart {
 		return
@@ -311,7 +315,7 @@
 }
 
 // drainEvent changes listed nodes to draining whose drain came only with a message that was not accepted, and returns
-// them for the module.
+// them for the decision module.
 func (l *List) drainEvent() headmill.Event {
 	ev := headmill.Event{Kind: headmill.EvNodes, NodesAreDelta: true}
 	for _, node := range l.nodes {
@@ -343,6 +347,7 @@
 	case e.Kind < 0 || l.cfg.Kinds > 0 && e.Kind >= l.cfg.Kinds:
 		return nil, fmt.Errorf("media node %s: kind %d is negative or not below the number of kinds, %d",
 			e.Addr, e.Kind, l.cfg.Kinds)
+	// 1e15 ms, about 32000 years, is the largest time that counts as valid.
 	case !(e.StartedAtMs >= 0) || e.StartedAtMs > 1e15:
 		return nil, fmt.Errorf("media node %s: start time %v ms is not in 0 to 1e15", e.Addr, e.StartedAtMs)
 	case !(e.UptimeMs >= 0) || !(e.Weight >= 0) || e.UptimeMs > 1e15:
@@ -361,7 +366,7 @@
 	return node, nil
 }
 
-// moduleNode is the node in the placement module's form.
+// moduleNode is the node in the decision module's form.
 func (n *listedNode) moduleNode() headmill.Node {
 	out := headmill.Node{ID: n.id, StartedAtMs: n.startedAt, Cell: n.Cell, Weight: n.Weight, Kind: n.Kind, Zone: n.Zone}
 	switch n.State {
--- a/decide/health/health.go
+++ b/decide/health/health.go
@@ -1,36 +1,41 @@
 // Package health decides which of a director's sessions are lost with a media
 // node, and which sessions on a media node belong to nobody. The director keeps
-// one notification stream to each media node where it has sessions. The
-// evidence is a stream that is silent or fails, and the list of sessions that
-// the media node sends when the stream is opened again.
+// one event stream to each media node where it has sessions. The evidence is a
+// stream that is silent or fails, and the list of sessions that the media node
+// sends when the stream is opened again.
 //
 // The package is pure: Step takes events with their time and returns actions.
-// The numbers of media nodes and sessions are the caller's.
+// The IDs of media nodes and sessions are the caller's.
 //
 // States of a media node:
 //
 //	state    meaning
 //	idle     no session there; no stream is kept
 //	opening  the stream was requested
-//	up       the stream is open; every byte proves that the media node lives
+//	up       the stream is open; every byte counts as contact with the media node
 //	broken   the stream ended or went silent; sessions are kept while it is retried
-//	down     ("lost" in texts) not heard for NodeTimeoutMs, or refused again and again; its sessions were given up
+//	down     no contact for NodeTimeoutMs, or refusalsUntilDown connections refused in a row; its sessions were given
+//	         up. The external name of this state is "lost".
 //
 // What each event does (of an unknown media node only SetupSent and SessionStarted count, as in idle):
 //
 //	SetupSent       idle, down: opens the stream (to opening); in every state the set-up is pending
-//	SessionStarted  idle, down: opens the stream (to opening); in every state a proof of life
+//	SessionStarted  idle, down: opens the stream (to opening); in every state it counts as contact
 //	SessionEnded    removes the session or its set-up; without any left the media node is unused
 //	StreamOpened    opening: compares the sessions, reports lost ones and orphans (to up); else ignored
-//	StreamActivity  up: a proof of life; else ignored
-//	StreamFailed    opening, up: schedules a retry with exponential backoff (to broken, if unused to idle); else ignored
-//	Tick            opening: after OpenTimeoutMs closes the stream (to broken, if unused to idle)
-//	                up: after StreamTimeoutMs of silence closes the stream (to broken, if unused to idle); after
+//	StreamActivity  up: counts as contact; else ignored
+//	StreamFailed    opening, up: schedules a retry with exponential backoff (to broken, or to idle if unused); else
+//	                ignored
+//	Tick            opening: after OpenTimeoutMs closes the stream (to broken, or to idle if unused)
+//	                up: after StreamTimeoutMs of silence closes the stream (to broken, or to idle if unused); after
 //	                IdleTimeoutMs without use closes it (to idle)
-//	                opening, broken: gives up the sessions of a media node that is not heard (to down)
-//	                broken: opens the stream again when the retry is due (to opening, if unused to idle)
+//	                opening, broken: if the media node has sessions and there was no contact for NodeTimeoutMs, or
+//	                refusalsUntilDown connections were refused in a row, gives its sessions up (to down)
+//	                broken: when the retry is due, opens the stream again (to opening), or to idle if unused
 //	                down: opens the stream if a set-up is pending (to opening)
-//	                idle, down: forgets a media node that is long unused
+//	                idle, down: forgets a media node that has been unused for 10 IdleTimeoutMs
+//
+// A media node is unused while it has neither sessions nor pending set-ups.
 package health
 
 import (
@@ -39,7 +44,7 @@
 	"slices"
 )
 
-// NodeID and SessionID are the caller's numbers.
+// NodeID and SessionID are IDs that the caller gives to media nodes and sessions.
 type (
 	NodeID    uint64
 	SessionID uint32
@@ -64,7 +69,7 @@
 	Kind        EventKind
 	Node        NodeID
 	Session     SessionID
-	BootID      string
+	BootID      string // of the process that opened the stream; kept, but not used for a decision
 	Sessions    []SessionID
 	ConnRefused bool // the host of the media node answered that nothing listens there
 }
@@ -74,7 +79,7 @@
 
 // The kinds of actions.
 const (
-	OpenStream  ActionKind = iota // Node: open its notification stream
+	OpenStream  ActionKind = iota // Node: open its event stream
 	CloseStream                   // Node: close it
 	SessionLost                   // Node, Session: the session is lost
 	EndOrphan                     // Node, Session: end a session that runs for this director, which does not know it
@@ -92,7 +97,7 @@
 // Config has the timeouts, in ms.
 type Config struct {
 	StreamTimeoutMs float64 // a stream without a byte for so long counts as broken
-	NodeTimeoutMs   float64 // a media node that is not heard for so long has lost its sessions
+	NodeTimeoutMs   float64 // a media node without contact for so long has lost its sessions
 	MinRetryMs      float64 // first delay between attempts to open the stream; doubles up to MaxRetryMs
 	MaxRetryMs      float64
 	IdleTimeoutMs   float64 // a stream without sessions is closed after so long
@@ -111,6 +116,7 @@
 	StateDown
 )
 
+// stateNames are the external names of the states, also in metrics and logs, in the order of the constants.
 var stateNames = [...]string{"idle", "opening", "up", "broken", "lost"}
 
 func (s State) String() string { return stateNames[s] }
@@ -123,10 +129,10 @@
 	pendingSetups       map[SessionID]bool    // set-ups sent and not answered
 	sessions            map[SessionID]float64 // sessions that play, and since when
 	openedAt            float64               // when the stream was requested
-	lastHeardAt         float64               // last proof of life
+	lastContactAt       float64               // last contact; at first, when the stream was requested
 	retryAt             float64               // when to open the stream again
 	retryDelayMs        float64
-	consecutiveRefusals int     // connections refused in a row: the process is gone, and with it what it ran
+	consecutiveRefusals int     // connections refused in a row; see refusalsUntilDown
 	unusedSince         float64 // since when there are no sessions and no pending set-ups
 }
 
@@ -139,8 +145,8 @@
 	sortedNodes []*nodeState // by id
 }
 
-// refusalsUntilDown is how many refused connections in a row mean that no process listens there any more. A single
-// one may come from a listener that is just being replaced.
+// refusalsUntilDown is how many refused connections in a row mean that the process has ended, and with it what it
+// ran. A single one may come from a listener that is just being replaced.
 const refusalsUntilDown = 2
 
 // New makes a Monitor without media nodes.
@@ -192,13 +198,13 @@
 	switch ev.Kind {
 	case SetupSent:
 		node.pendingSetups[ev.Session] = true
-		if node.state == StateIdle || node.state == StateDown { // down: the module sends there again, so it may be back
+		if node.state == StateIdle || node.state == StateDown { // down: a new set-up is sent there, so it may be back
 			m.openStream(node)
 		}
-	case SessionStarted: // the answer to the set-up proves life as well as a notification does
+	case SessionStarted: // the answer to the set-up is contact as well as a byte on the stream is
 		delete(node.pendingSetups, ev.Session)
 		node.sessions[ev.Session] = m.now
-		node.lastHeardAt = math.Max(node.lastHeardAt, m.now)
+		node.lastContactAt = math.Max(node.lastContactAt, m.now)
 		if node.state == StateIdle || node.state == StateDown {
 			m.openStream(node)
 		}
@@ -214,7 +220,7 @@
 		}
 	case StreamActivity:
 		if node.state == StateUp {
-			node.lastHeardAt = m.now
+			node.lastContactAt = m.now
 		}
 	case StreamFailed:
 		if node.state == StateOpening || node.state == StateUp {
@@ -231,7 +237,7 @@
 
 func (m *Monitor) openStream(node *nodeState) {
 	if node.state == StateIdle || node.state == StateDown {
-		node.lastHeardAt, node.retryDelayMs, node.consecutiveRefusals = m.now, 0, 0
+		node.lastContactAt, node.retryDelayMs, node.consecutiveRefusals = m.now, 0, 0
 	}
 	node.state, node.openedAt = StateOpening, m.now
 	m.out = append(m.out, Action{Kind: OpenStream, Node: node.id})
@@ -241,7 +247,7 @@
 // that started before the stream was requested can be found missing: the media node may have written its list before a
 // later one was set up.
 func (m *Monitor) reconcileSessions(node *nodeState, ev *Event) {
-	node.state, node.lastHeardAt, node.retryDelayMs, node.bootID, node.consecutiveRefusals =
+	node.state, node.lastContactAt, node.retryDelayMs, node.bootID, node.consecutiveRefusals =
 		StateUp, m.now, 0, ev.BootID, 0
 	running := make(map[SessionID]bool, len(ev.Sessions))
 	for _, session := range ev.Sessions {
@@ -294,7 +300,7 @@
 				m.streamFailed(node)
 			}
 		case StateUp:
-			if m.now-node.lastHeardAt > m.cfg.StreamTimeoutMs {
+			if m.now-node.lastContactAt > m.cfg.StreamTimeoutMs {
 				m.out = append(m.out, Action{Kind: CloseStream, Node: node.id})
 				m.streamFailed(node)
 			} else if node.unused() && m.now-node.unusedSince > m.cfg.IdleTimeoutMs {
@@ -302,7 +308,7 @@
 				node.state = StateIdle
 			}
 		}
-		dead := m.now-node.lastHeardAt > m.cfg.NodeTimeoutMs || node.consecutiveRefusals >= refusalsUntilDown
+		dead := m.now-node.lastContactAt > m.cfg.NodeTimeoutMs || node.consecutiveRefusals >= refusalsUntilDown
 		if (node.state == StateBroken || node.state == StateOpening) && len(node.sessions) > 0 && dead {
 			m.out = append(m.out, Action{Kind: NodeDown, Node: node.id, Count: len(node.sessions)})
 			for _, session := range sortedSessions(node.sessions) {
@@ -320,11 +326,12 @@
 				m.openStream(node)
 			}
 		}
-		if node.state == StateDown && len(node.pendingSetups) > 0 { // the module sends there again, so it may be back
+		if node.state == StateDown && len(node.pendingSetups) > 0 { // a set-up is sent there, so it may be back
 			m.openStream(node)
 		}
 	}
-	// A media node that is long unused is forgotten, so that the table is bounded by the present nodes.
+	// A media node that has been unused for 10 idle time-outs is forgotten, so that the table is bounded by the present
+	// nodes.
 	m.sortedNodes = slices.DeleteFunc(m.sortedNodes, func(node *nodeState) bool {
 		expired := (node.state == StateIdle || node.state == StateDown) && node.unused() &&
 			m.now-node.unusedSince > 10*m.cfg.IdleTimeoutMs
--- a/decide/idempotency/ledger.go
+++ b/decide/idempotency/ledger.go
@@ -78,9 +78,9 @@
 type Event struct {
 	Kind            EventKind
 	Request         RequestID
-	Key             string // jti of the session token
-	Fingerprint     uint64 // of what the token asks for: title, class, viewer
-	Paid            bool   // the set-up must not run twice; see the package comment
+	Key             string  // jti of the session token
+	Fingerprint     uint64  // of what the token asks for: title, class, viewer
+	Paid            bool    // the set-up must not run twice; see the package comment
 	ConnectionBound bool    // the new session lives only while a connection is attached, and DetachedTTLMs longer
 	TokenAgeMs      float64 // since the token was issued
 	TokenTTLMs      float64 // until the token expires
--- a/decide/release/release.go
+++ b/decide/release/release.go
@@ -9,7 +9,7 @@
 //
 //	Due   no connection is available
 //	      Tick: written if a connection is available now.
-//	Sent  written, but not yet confirmed by the viewer's `released`
+//	Sent  written, but not yet confirmed by the viewer (its message `released`)
 //	      ConnectionClosed, of the connection last written on: written on another, or Due if there is none.
 //	      Tick: written on another as well if RetransmitMs have passed, on at most maxConnections.
 //	any   Confirmed: discarded. Tick: discarded after RetentionMs. SessionEnded, of another session: the
@@ -35,8 +35,8 @@
 	MaxPending   int     // releases kept; at this limit the oldest is discarded
 }
 
-// maxConnections is the number of open connections on which one release is written. Without it, viewers that confirm
-// nothing would turn each ended session into one message on every connection.
+// maxConnections is the largest number of open connections on which one release is written. Without it, viewers that
+// confirm nothing would turn each ended session into one message on every connection.
 const maxConnections = 3
 
 // EventKind tells which fields of an Event are set.
@@ -54,14 +54,14 @@
 type Event struct {
 	Kind    EventKind
 	Session SessionID
-	Cause   int
+	Cause   int // Q.850 cause of the end, passed through
 	Conn    connmgr.ConnID
 }
 
 // Transmission is one release to write on a connection.
 type Transmission struct {
 	Session SessionID
-	Cause   int // as in the SessionEnded event
+	Cause   int // that of the SessionEnded event
 	Conn    connmgr.ConnID
 }
 
--- a/decide/shutdown/shutdown.go
+++ b/decide/shutdown/shutdown.go
@@ -16,14 +16,16 @@
 //	                  CloseAllConnections.
 //	Stopped           the connections are closed, the process exits.
 //
-// Every phase after Serving has a time limit, so that a shutdown always ends.
+// Every phase after Serving has a time limit, so that a shutdown always ends. Where
+// SessionDrainMs is infinite, only SkipDrain or the end of all sessions ends DrainingSessions.
 package shutdown
 
-// Config has the times of the phases, in ms.
+// Config has the times of the phases, in ms. SetupDrainMs must be at least the longest time after which a viewer of a
+// class gives up, or answers are cut off.
 type Config struct {
 	NoticeMs       float64 // between refusing new sessions and closing the listeners, so that load balancers notice
-	SetupDrainMs   float64 // for set-ups in progress; at least the longest give-up of a class, or answers are cut off
-	SessionDrainMs float64 // for sessions that play
+	SetupDrainMs   float64 // for set-ups in progress
+	SessionDrainMs float64 // for sessions that play; infinite if they play on until SkipDrain is set
 	EndConfirmMs   float64 // for media nodes to confirm ended sessions, and for answers to be written
 }
 
@@ -39,7 +41,7 @@
 	PhaseStopped
 )
 
-// phaseNames are the external names of the phases, in the order of the constants.
+// phaseNames are the external names of the phases, also in metrics and logs, in the order of the constants.
 var phaseNames = [...]string{"serving", "finishing", "playing", "ending", "gone"}
 
 func (p Phase) String() string { return phaseNames[p] }
