--- a/api.go
+++ b/api.go
@@ -152,7 +152,7 @@
 
 // The events.
 const (
-	EvNodes           EventKind = iota // node list: Nodes, Delta, ListUnavailable
+	EvNodes           EventKind = iota // node list: Nodes, NodesAreDelta, ListUnavailable
 	EvRequest                          // a viewer requests a session
 	EvExistingSession                  // a session that plays already, on Node: after a restart or a late answer
 	EvAttemptPlaying                   // an attempt plays: Session, Node, LatencyMs
--- a/decide/limits/limits_test.go
+++ b/decide/limits/limits_test.go
@@ -197,7 +197,7 @@
 }
 
 // New sessions of a tenant that over-demands are admitted at rungs at which more of them fit, never below the one that
-// earns most per kB, and at full rungs again soon after.
+// has the most worth per kB, and at full rungs again soon after.
 func TestOverDemandLowersRungs(t *testing.T) {
 	p := newStreamPool(testConfig(), 40, 1000)
 	duringFlood, after := map[int]int{}, map[int]int{}
--- a/decide/quality/finding.go
+++ b/decide/quality/finding.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Finding names a group whose sessions are short together, with the evidence. A session is short if it receives less
-// than Config.ShortfallBelow of the rate that it needs, or if it stalls.
+// Finding names a group whose sessions are short of rate together, with the evidence. A session is short of rate, or
+// just short, if it receives less than Config.ShortfallBelow of the rate that it needs, or if it stalls.
 type Finding struct {
 	GroupKey
 	Since, At                 float64 // when it was first and last detected; At is the time of the end once Ended
@@ -19,7 +19,8 @@
 	Score                     float64 // log-likelihood gain over the hypothesis that all sessions are alike
 }
 
-// String returns the evidence as text.
+// String returns the evidence as text. The text is external. Load stands there as what the group is asked for: the
+// rate that its short sessions need is Load times the rate that they receive.
 func (f Finding) String() string {
 	if f.Ended {
 		return fmt.Sprintf("%s %d is over after %.1f s", f.Dim, f.ID, (f.At-f.Since)/1000)
@@ -30,14 +31,14 @@
 
 // groupTally counts the sessions of a group in one detection run.
 type groupTally struct {
-	sessions, short int
+	sessions, short int            // short: those that are short of rate
 	shareSum        float64        // sum of the short sessions' shares
 	shortByPart     map[uint64]int // short sessions of a rack by media node, of every other group by rack
 }
 
-// spansSeveralParts tells whether a group is short in more than one of its parts. If all short sessions of a title
-// are on one media node, the evidence points to the node. So a title, class, tenant or family is only blamed if it
-// is short on two racks, and a rack if two of its nodes are.
+// spansSeveralParts tells whether a group is short in more than one of its parts: whether two parts have two short
+// sessions each. The parts of a rack are its media nodes, those of every other group are racks; a media node has no
+// parts. If all short sessions of a title are on one media node, the evidence points to the node and not to the title.
 func (tally *groupTally) spansSeveralParts(d Dimension) bool {
 	if d == ByNode {
 		return true
@@ -51,6 +52,10 @@
 	return parts >= 2
 }
 
+// maxFindingsPerRun is the largest number of findings of one detection run: more simultaneous causes than this are one
+// cause that no group describes.
+const maxFindingsPerRun = 4
+
 // detect compares groups by the last report of each of their sessions. The group that explains most of the shortfall
 // is taken first; its sessions are set aside, and the rest is examined again. So an overloaded rack is not also
 // reported as a dozen faulty titles, nor a faulty media node as its rack, which would have to be short as a whole.
@@ -68,6 +73,7 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		s := t.sessions[id]
+		// Sessions that have ended, or have not reported for two windows, say nothing of the present.
 		if s.lastShareAt == 0 || s.endedAt > 0 || t.now-s.lastShareAt > 2*t.config.WindowMs {
 			continue
 		}
@@ -78,7 +84,7 @@
 		samples = append(samples, sample{s.groupKeys(span.Place), s.lastShare < t.config.ShortfallBelow, s.lastShare})
 	}
 	detected := map[GroupKey]Finding{}
-	for range 4 { // more simultaneous causes than this are one cause that no group describes
+	for range maxFindingsPerRun {
 		groups, total := map[GroupKey]groupTally{}, groupTally{}
 		for _, smp := range samples {
 			total.sessions++
@@ -128,7 +134,7 @@
 		finding := Finding{GroupKey: key, At: t.now, Sessions: tally.sessions, Short: tally.short,
 			OtherSessions: rest.sessions, OtherShort: rest.short,
 			Score: logLikelihoodGain(tally, rest, total), Load: float64(tally.short) / tally.shareSum}
-		better := finding.Score > best.Score+1e-9
+		better := finding.Score > best.Score+1e-9 // scores that differ by rounding only are equal
 		// Equal scores are the same sessions grouped in two ways: the order of dimensions and IDs decides, so that
 		// every run names the same group.
 		if math.Abs(finding.Score-best.Score) <= 1e-9 {
@@ -156,8 +162,8 @@
 	return float64(tally.short)*math.Log(p) + float64(tally.sessions-tally.short)*math.Log(1-p)
 }
 
-// candidate is a cause that is not confirmed yet. A detection run that misses it takes back what a run that detects
-// it adds, and no more: a rack that is only a little short goes back and forth across the bound, and its
+// candidate is a cause that is not confirmed yet. A run that misses it undoes the progress of one run that detected
+// it, and no more: a rack that is only a little short is detected in some runs and missed in others, and its
 // confirmation must not restart each time.
 type candidate struct {
 	since       float64
--- a/decide/quality/loss.go
+++ b/decide/quality/loss.go
@@ -30,7 +30,8 @@
 
 // AttributeLoss divides the quality lost among the findings. Each finding gets what its group lost in the windows that
 // it overlaps, in attributionOrder and never more than is left of the window's total; the remainder is listed last,
-// as having no cause found. total is the loss of each window over all groups, by the window's From.
+// as having no cause found. total is the loss of each window over all groups, by the time at which the window starts.
+// The names of the dimensions are the external ones.
 func AttributeLoss(total map[float64]float64, losses []GroupLoss, findings []FindingInterval) []CauseLoss {
 	remaining := map[float64]float64{}
 	for from, lost := range total {
--- a/decide/quality/quality.go
+++ b/decide/quality/quality.go
@@ -3,7 +3,8 @@
 // tenant where the session was at the report's time, aggregates the reports in
 // windows of event time, and detects when a group of sessions that degrade
 // together points to one cause: an overloaded rack, a faulty media node, a faulty
-// title or a faulty family of players.
+// title or a faulty family of players. A family is what the session token names as
+// the player's: players of one client application or kind of device.
 //
 // The package is pure: it reads no clock and does no I/O. Input are events with
 // their times, passed to Tracker.Step; output are findings (Step, Findings) and
@@ -12,7 +13,7 @@
 //
 // A window is in one of these states:
 //
-//	open    From + WindowMs is after the watermark (now - AllowedLatenessMs);
+//	open    StartAt + WindowMs is after the watermark (now - AllowedLatenessMs);
 //	        reports of its time are counted
 //	closed  the watermark has passed its end; reports of its time are
 //	        ReportTooLate; it waits for TakeClosed
@@ -43,10 +44,11 @@
 	ByTitle
 	ByClass
 	ByTenant
-	ByPlayerFamily
+	ByPlayerFamily // family of players: one client application or kind of device
 	dimensionCount
 )
 
+// dimensionNames are the external names of the dimensions, also in metrics and logs, in the order of the constants.
 var dimensionNames = [...]string{"rack", "box", "title", "class", "brand", "family"}
 
 // String returns the dimension's name in messages, in the history and in evidence texts.
@@ -62,13 +64,13 @@
 	DedupWindow        int       // reports per session that are remembered to detect duplicates
 	MaxGroups          int       // groups in a window; reports of further groups count in Window.Total only. 0: no bound
 	MaxBytes           int64     // memory of all timelines, see SetMaxBytes. 0: no bound
-	RungQuality        []float64 // quality of each rung
+	RungQuality        []float64 // quality of each rung, as headmill.Config.RungWorth
 
 	// Weights of the linear model (Yin, Jindal, Sekar, Sinopoli, SIGCOMM 2015, eq. 5), in units of quality:
-	// per unit of quality changed by a switch, per second of stall, per second of start-up.
+	// per unit of quality by which a change of rung (a switch) differs, per second of stall, per second of start-up.
 	SwitchCost, StallCost, StartupCost float64
 
-	ShortfallBelow   float64 // a session that receives less than this share of the rate it needs is short
+	ShortfallBelow   float64 // a session that receives less than this share of the rate it needs is short of rate
 	DetectIntervalMs float64 // interval between detection runs
 	ConfirmMs        float64 // time for which a cause must be detected before it becomes a finding
 	MinSessions      int     // sessions that a group, and the rest, must have for a finding
@@ -96,8 +98,8 @@
 	SessionEnded
 	// ReportReceived delivers a player's report: Session, Report.
 	ReportReceived
-	// SessionAdopted sets the fields of SessionStarted, for a session that was taken over from a failed director:
-	// its timeline before At is not known.
+	// SessionAdopted sets the fields of SessionStarted, for a session that played already when the director adopted it,
+	// as after a late answer: its timeline before At is not known.
 	SessionAdopted
 )
 
@@ -118,7 +120,7 @@
 	StallMs     float64 // duration of stalls since the player's last report
 	BufferEmpty bool    // the buffer ran empty, for a duration that is not reported
 	Rung        int     // the rung played; -1: not reported
-	Node        uint64  // the media node that forwarded the report, and that served it; 0: sent by the player itself
+	Node        uint64  // the media node that serves the session and forwarded the report; 0: sent by the player
 }
 
 // Event is one input of Step.
@@ -146,6 +148,7 @@
 	reportStatusCount
 )
 
+// reportStatusNames are the external names of the statuses, also in metrics and logs, in the order of the constants.
 var reportStatusNames = [...]string{"counted", "doubled", "unknown", "before", "too_late", "broken"}
 
 // String returns the status's name in metrics and messages.
@@ -179,7 +182,7 @@
 	config          Config
 	now             float64
 	sessions        map[uint64]*session
-	openWindows     []*Window // by From, ascending
+	openWindows     []*Window // by StartAt, ascending
 	closedWindows   []*Window // not yet taken
 	reportCounts    [reportStatusCount]uint64
 	timelineBytes   int64    // estimated memory of the timelines
@@ -241,7 +244,7 @@
 }
 
 // evictForNewSession removes ended sessions, the longest ended first, until a new one fits. It returns false if none
-// is left to remove. Sessions that play are never removed, so that a flood of short sessions can't displace them.
+// is left to remove. Sessions that play are never removed, so that a flood of brief sessions can't displace them.
 func (t *Tracker) evictForNewSession() bool {
 	const newSessionBytes = sessionBytes + spanBytes
 	if t.config.MaxBytes <= 0 {
@@ -435,7 +438,8 @@
 		return report.ArrivedAt, true
 	}
 	at := math.Min(report.At+s.clockOffsetMs, report.ArrivedAt)
-	// A time much further back than any delay, even with a clock at the bound, means that the player's clock jumped.
+	// A time much further back than any delay (10 times the allowed lateness), even with a clock at the bound, means
+	// that the player's clock jumped.
 	return at, at > report.ArrivedAt-10*t.config.AllowedLatenessMs-t.config.MaxClockSkewMs
 }
 
@@ -548,7 +552,7 @@
 	return out
 }
 
-// MaxLatenessMs returns the largest lateness of a report that was too late, in ms behind the watermark.
+// MaxLatenessMs returns the largest lateness that a report that was too late ever had, in ms behind the watermark.
 func (t *Tracker) MaxLatenessMs() float64 { return t.maxLatenessMs }
 
 // Span is a part of a session's timeline; it lasts until the next one begins.
--- a/decide/quality/window.go
+++ b/decide/quality/window.go
@@ -21,7 +21,7 @@
 	StalledReports int64   // reports with a stall
 	QualitySum     float64 // sum of the reports' quality
 	QualityLost    float64 // sum of the quality missing from that of the granted rung, and of the start-up cost
-	Switches       int64   // changes of rung
+	Switches       int64   // changes of the rung played
 	startupSketch  *ddsketch.DDSketch
 	shareSketch    *ddsketch.DDSketch
 }
@@ -171,7 +171,7 @@
 		stalled := report.StallMs > 0 || report.BufferEmpty
 		if !math.IsNaN(share) || stalled {
 			s.lastShare, s.lastShareAt = share, at
-			// A session that stalls is short, whatever rate it measured: its share is set just under the bound.
+			// A session that stalls is short of rate, whatever rate it measured: its share is set just under the bound.
 			if stalled && !(share < t.config.ShortfallBelow) {
 				s.lastShare = t.config.ShortfallBelow * 0.99
 			}
@@ -190,12 +190,12 @@
 			g.Switches++
 		}
 		if !math.IsNaN(share) {
-			addToSketch(&g.shareSketch, math.Min(share, 4))
+			addToSketch(&g.shareSketch, math.Min(share, 4)) // a share above 4 is an outlier and counts as 4
 		}
 	})
 }
 
-// requiredRateKB is the rate in kB/s below which a session is short: the granted rate, or the requested one where the
+// requiredRateKB is the rate in kB/s that a session needs: the granted rate, or the requested one where the
 // player requested less. The received rate was measured on the previous media object, so after a rise of the rung
 // the smaller of the last two requests counts; otherwise every rise would look like an overload.
 func requiredRateKB(s *session, span *timelineSpan, report *PlayerReport) float64 {
@@ -208,7 +208,7 @@
 	return required
 }
 
-// rungQuality returns the quality of a rung, or of the nearest one that Config.RungWorth has; 0 if it has none.
+// rungQuality returns the quality of a rung, or of the nearest one that Config.RungQuality has; 0 if it has none.
 func (t *Tracker) rungQuality(rung int) float64 {
 	if len(t.config.RungQuality) == 0 {
 		return 0
--- a/size_test.go
+++ b/size_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// Where rung 1 earns most per kB, a request that fits only at the lowest rung is refused, and relief stops at
+// Where rung 1 has the most worth per kB, a request that fits only at the lowest rung is refused, and relief stops at
 // rung 1.
 func TestNoSetupBelowTheEfficientRung(t *testing.T) {
 	cfg := testConfig()
@@ -134,7 +134,7 @@
 	front := startFront(t, cfg)
 	front.reportLinkLoads(setupLoadLimit - 0.06) // 60 of 1000 kB/s are free: enough for rung 0 (50), not for 1 (100)
 	if _, actions := front.request(0, 2); hasAction(actions, ActSetup) {
-		t.Fatal("set up at the lowest rung, which earns less per kB")
+		t.Fatal("set up at the lowest rung, which is worth less per kB")
 	}
 	front.reportLinkLoads(0.4)
 	if _, actions := front.request(0, 2); !hasAction(actions, ActSetup) {
@@ -239,7 +239,7 @@
 		for self := range fronts {
 			cfg.FrontIndex = self
 			start := func(now float64) *Controller {
-				nodes[0].StartedAtMs = 1e6 - 500*random.Float64() // as this front believes
+				nodes[0].StartedAtMs = 1e6 - 500*random.Float64() // in this front's node list
 				front, err := New(cfg, uint64(self))
 				if err != nil {
 					t.Fatal(err)
