--- a/internal/director/agent.go
+++ b/internal/director/agent.go
@@ -15,7 +15,7 @@
 // Connected implements loop.Handler. It is never called for accepted connections.
 func (a agentCheckHandler) Connected(*loop.Conn) {}
 
-// Drained implements loop.Handler.
+// Flushed implements loop.Handler.
 func (a agentCheckHandler) Flushed(*loop.Conn) {}
 
 // Data discards what the check sends ("agent-send").
@@ -31,7 +31,7 @@
 	case d.shutdown.Phase() != shutdown.PhaseServing:
 		return "drain\n"
 	case d.nodeList.Len() == 0:
-		return "down #no box list\n"
+		return "down #no box list\n" // external text
 	}
 	return "up " + strconv.Itoa(d.admission.Weight()) + "%\n"
 }
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -30,8 +30,12 @@
 //	sessionPlaying  it streams from its media node. Goes to sessionEnded when
 //	                the node reports its end, the node is lost, or this
 //	                director ends it
-//	sessionEnded    the module has released it; the ledger may still know it.
-//	                Removed at ForgetSession
+//	sessionEnded    it has ended; the ledger may still know it. Removed at
+//	                ForgetSession
+//
+// Log lines, metrics, traces and messages use external names, which stay as
+// they are: "box" is a media node, "brand" a tenant, "why" a reason, "again"
+// tells whether a request is a retry, and "plays" stands for playing.
 //
 // All state belongs to the goroutine of the event loop.
 package director
@@ -63,11 +67,13 @@
 	"headmill/internal/ws"
 )
 
-// tickIntervalMs is the interval, in ms, at which deadlines and the timers of the decision packages are checked.
+// tickIntervalMs is the interval, in ms, at which deadlines and the timers of the decision packages are checked. They
+// are noticed up to this much late.
 const tickIntervalMs = 50
 
 // sweepIntervalMs is the minimum time, in ms, between two sweeps of all connections of viewers, and between two
-// measurements of the director's load. nodeSweepIntervalMs is the same for media nodes.
+// measurements of the director's load. nodeSweepIntervalMs is the same for media nodes. A sweep visits each connection
+// or each media node, so it does not run in each tick.
 const (
 	sweepIntervalMs     = 250
 	nodeSweepIntervalMs = 1000
@@ -84,6 +90,24 @@
 }
 
 // Stats counts events since the start of the director.
+//
+//	Requests           requests for a session whose token is valid
+//	Played             requests answered with a session that plays
+//	Refused            requests refused by the module, by admission control or at a limit, also at one that is checked
+//	                   before a request counts in Requests; nothing was set up for them
+//	Failed             requests answered with a failure
+//	Denied             messages rejected since their token, or what it names, is not valid; not in Requests
+//	Redirected         requests answered with the address of the director that owns the token
+//	Attempts           set-ups sent to media nodes
+//	LostSessions       sessions lost with their media nodes
+//	LateSuccesses      sessions that turned out to play after their attempt had been given up
+//	EndedOrphans       sessions ended at media nodes because this director does not know them
+//	NodeLists          accepted messages of the discovery service
+//	SlowReaders        connections of viewers closed because too much output was pending
+//	AdmissionRefusals  those of Refused that admission control refused
+//	AgentChecks        agent checks of load balancers
+//	ReportsAccepted    reports of players passed to decide/quality
+//	ReportsDropped     reports of players dropped: too frequent, too long, over a quota, or of a session not known there
 type Stats struct {
 	Requests, Played, Refused, Failed, Denied, Redirected                       uint64
 	Attempts, LostSessions, LateSuccesses, EndedOrphans, NodeLists, SlowReaders uint64
@@ -96,7 +120,7 @@
 	cfg      *config.Settings
 	loop     *loop.Loop
 	log      *slog.Logger
-	bootID   string // distinguishes this run's session names at the media nodes
+	bootID   string // part of session names at the media nodes; differs in each run of the director
 	seed     uint64
 	listener *loop.Listener
 
@@ -185,6 +209,7 @@
 	}
 	for i := range cfg.Titles {
 		t := &cfg.Titles[i]
+		// The lowest bit is set so that no title has the number 0.
 		d.titles[t.Name] = &title{Title: t, number: xxhash.Sum64String(t.Name) | 1, class: cfg.ClassIndex(t.Class)}
 	}
 	d.tokenChecker = token.NewChecker(keys, cfg.Tokens.Cache,
@@ -214,7 +239,7 @@
 	d.health = health.New(health.Config{
 		StreamTimeoutMs: t.NodeStreamTimeoutMs,
 		NodeTimeoutMs:   t.NodeTimeoutMs,
-		MinRetryMs:      100,
+		MinRetryMs:      100, // delay before an event stream is opened again; doubles up to MaxRetryMs
 		MaxRetryMs:      1000,
 		IdleTimeoutMs:   t.NodeIdleMs,
 		OpenTimeoutMs:   t.NodeStreamTimeoutMs,
@@ -268,7 +293,7 @@
 // SetKeys replaces the key set of a running director. It must be called on the loop's goroutine.
 func (d *Director) SetKeys(keys []token.Key) { d.tokenChecker.SetKeys(keys) }
 
-// Stop requests an orderly shutdown; a second call skips the drain. It may be called from any goroutine.
+// Stop requests an orderly shutdown; a second call skips the session drain. It may be called from any goroutine.
 func (d *Director) Stop() {
 	d.loop.Post(func() {
 		d.skipDrain = d.stopRequested
@@ -337,7 +362,7 @@
 				v.conn.CloseGracefully()
 			}
 			for w := range d.webSockets {
-				w.close(ws.CloseGoingAway, "this director is leaving")
+				w.close(ws.CloseGoingAway, "this director is leaving") // text to clients: external
 			}
 			go d.tokenPool.Close()
 			if d.Done != nil {
@@ -364,7 +389,7 @@
 	}
 	var id idempotency.SessionID
 	for _, c := range rest {
-		if c < '0' || c > '9' || id > 1<<32/10-1 {
+		if c < '0' || c > '9' || id > 1<<32/10-1 { // a further digit could exceed 32 bits
 			return 0, false
 		}
 		id = id*10 + idempotency.SessionID(c-'0')
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -49,7 +49,8 @@
 	c.retryTimer = c.director.loop.After(c.director.cfg.Discovery.RetryMs, c.connect)
 }
 
-// connectionFailed logs a failure, sparsely when it repeats, and reports to the module that the list is unavailable.
+// connectionFailed logs a failure, of those in a row the first three and each hundredth, and reports to the module that
+// the list is unavailable.
 func (c *discoveryClient) connectionFailed(operation string, err error) {
 	c.failures++
 	if c.failures <= 3 || c.failures%100 == 0 {
@@ -67,7 +68,7 @@
 	c.conn.Write(append(req, "Accept: text/event-stream\r\n\r\n"...))
 }
 
-// Drained implements loop.Handler.
+// Flushed implements loop.Handler. It does nothing, since writes are never paused.
 func (c *discoveryClient) Flushed(*loop.Conn) {}
 
 // Data parses messages of the stream.
@@ -105,7 +106,7 @@
 // nodeEntry is one media node in a message of the discovery service.
 type nodeEntry struct {
 	Addr     string  `json:"addr"`
-	State    string  `json:"state"`
+	State    string  `json:"state"` // as in discovery.Entry
 	BootID   string  `json:"boot"`
 	UptimeMs float64 `json:"up_ms"`
 	Cell     int     `json:"cell"`
@@ -114,7 +115,8 @@
 	Weight   float64 `json:"weight"`
 }
 
-// nodeListMessage is a message of the discovery service: a full list or a change of it.
+// nodeListMessage is a message of the discovery service: a full list, or the entries that have changed. Its JSON keys
+// are external names ("servers" are the media nodes).
 type nodeListMessage struct {
 	Epoch   string      `json:"epoch"`
 	Version uint64      `json:"version"`
--- a/internal/director/http.go
+++ b/internal/director/http.go
@@ -56,7 +56,7 @@
 // Connected implements loop.Handler. It is never called for accepted connections.
 func (v *viewerConn) Connected(*loop.Conn) {}
 
-// Drained replaces the write deadline with the idle deadline once a slow reader has read everything.
+// Flushed replaces the write deadline with the idle deadline once a slow reader has read everything.
 func (v *viewerConn) Flushed(*loop.Conn) {
 	if v.state == viewerIdle {
 		v.deadline = v.director.loop.Now() + v.director.cfg.Times.IdleMs
--- a/internal/director/metrics.go
+++ b/internal/director/metrics.go
@@ -18,7 +18,8 @@
 // between scrapes.
 type collector struct{ director *Director }
 
-// desc describes a metric; its name is prefixed.
+// desc describes a metric; its name is prefixed. Names, help texts, labels and label values are external names, also
+// where the code has another word: orders are requests, troubles are incidents, boxes are media nodes.
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("headmill_"+name, help, labels, nil)
 }
--- a/internal/director/nodecommands.go
+++ b/internal/director/nodecommands.go
@@ -117,7 +117,7 @@
 func (q *commandQueue) bytesWritten(*nodeConn)      {}
 func (q *commandQueue) responseHead(*nodeConn, int) {}
 
-// responseComplete ends the command in flight. A 404 counts as success: the session is gone already.
+// responseComplete ends the command in flight. A 404 counts as success: the media node has no such session any more.
 func (q *commandQueue) responseComplete(conn *nodeConn, m *http1.Message) {
 	q.conn = nil
 	ok := m.Status < 300 || m.Status == 404
--- a/internal/director/nodeconn.go
+++ b/internal/director/nodeconn.go
@@ -13,11 +13,11 @@
 
 // connUser is the current user of a connection to a media node: a set-up attempt or the command queue.
 type connUser interface {
-	connected(conn *nodeConn)
-	bytesWritten(conn *nodeConn)
-	responseHead(conn *nodeConn, status int)
-	responseComplete(conn *nodeConn, m *http1.Message)
-	connectionClosed(conn *nodeConn, err error)
+	connected(conn *nodeConn)                          // the connection dialled for it is established
+	bytesWritten(conn *nodeConn)                       // the kernel has accepted all pending output
+	responseHead(conn *nodeConn, status int)           // the head of the final response has arrived
+	responseComplete(conn *nodeConn, m *http1.Message) // the whole response has arrived; m is valid during the call
+	connectionClosed(conn *nodeConn, err error)        // the connection has closed, or could not be opened
 }
 
 // maxNodeOutputBytes limits the output pending on one connection to a media node.
@@ -122,7 +122,7 @@
 	}
 }
 
-// Drained informs the user that its request was written.
+// Flushed informs the user that its request was written.
 func (c *nodeConn) Flushed(*loop.Conn) {
 	if c.user != nil {
 		c.user.bytesWritten(c)
@@ -198,6 +198,7 @@
 			n.idleConns = n.idleConns[1:]
 			conn.netConn.Close(loop.ErrClosedByOwner)
 		}
+		// The state is kept for four idle times after the last use.
 		if n.connCount == 0 && n.eventStream == nil && len(n.commands.queue) == 0 &&
 			now-n.lastUsedAt > 4*d.cfg.Times.NodeIdleMs {
 			delete(d.nodes, id)
--- a/internal/director/nodestream.go
+++ b/internal/director/nodestream.go
@@ -12,7 +12,8 @@
 	"headmill/internal/orca"
 )
 
-// nodeEventStream is the event stream of one media node: text/event-stream (WHATWG HTML section 9.2) at GET /notes.
+// nodeEventStream is the event stream of one media node: text/event-stream (WHATWG HTML section 9.2) at GET /notes. The
+// path, the event types and the JSON keys are external names.
 type nodeEventStream struct {
 	node   *mediaNode
 	conn   *loop.Conn
@@ -56,7 +57,7 @@
 	e.conn.Write(append(req, "Accept: text/event-stream\r\n\r\n"...))
 }
 
-// Drained implements loop.Handler.
+// Flushed implements loop.Handler. It does nothing, since writes are never paused.
 func (e *nodeEventStream) Flushed(*loop.Conn) {}
 
 // Data parses events of the stream.
@@ -98,7 +99,7 @@
 type nodeEvent struct {
 	Session  string   `json:"session"`
 	Value    float64  `json:"value"`
-	Reason   string   `json:"why"`
+	Reason   string   `json:"why"`  // why the session ended
 	Load     string   `json:"load"` // load report in the format of the ORCA header field
 	BootID   string   `json:"boot"`
 	Sessions []string `json:"sessions"`
@@ -142,7 +143,7 @@
 		return
 	}
 	if s == nil || s.node != node.id || s.state != sessionPlaying {
-		id = 0
+		id = 0 // a load is feedback on the media node also without a session; a rung is not
 		if feedback == headmill.FeedbackRung {
 			return
 		}
--- a/internal/director/quality.go
+++ b/internal/director/quality.go
@@ -20,9 +20,9 @@
 	tracker        *quality.Tracker
 	events         []quality.Event
 	groupNames     map[quality.GroupKey]string
-	lastFeedbackAt float64 // when findings were last passed to the module
-	unknownKeys    uint64  // number of unknown keys in reports
-	badKeys        map[string]uint64
+	lastFeedbackAt float64           // when findings were last passed to the module
+	unknownKeys    uint64            // number of unknown keys in reports
+	badKeys        map[string]uint64 // number of malformed values in reports, by key
 	closedWindows  []*quality.Window // newest last
 }
 
@@ -47,8 +47,8 @@
 			AllowedLatenessMs:  settings.AllowedLatenessMs,
 			MaxClockSkewMs:     settings.MaxClockSkewMs,
 			SessionRetentionMs: settings.SessionRetentionMs,
-			MaxSpans:           64,
-			DedupWindow:        64,
+			MaxSpans:           64, // per session
+			DedupWindow:        64, // reports per session
 			MaxGroups:          settings.MaxGroups,
 			MaxBytes:           int64(d.cfg.Limits.Timelines),
 			RungQuality:        d.cfg.Ladder.Worth,
@@ -64,7 +64,8 @@
 	}
 }
 
-// groupID returns the number of a group and records its name for it.
+// groupID returns the number of a group and records its name for it. Names are never removed, so at most eight times
+// MaxGroups are recorded; a group beyond that has an empty name.
 func (d *Director) groupID(dim quality.Dimension, name string) uint64 {
 	id := xxhash.Sum64String(name)
 	k := quality.GroupKey{Dim: dim, ID: id}
--- a/internal/director/request.go
+++ b/internal/director/request.go
@@ -160,14 +160,15 @@
 	return false
 }
 
-// admissionDetails has the problem detail of each reason of admission control.
+// admissionDetails has the problem detail of each reason of admission control. These texts go to clients and are
+// external, like all details of problems and failures in this package.
 var admissionDetails = map[limits.Reason]string{
 	limits.DirectorOverloaded: "this director has more to do than it can; nothing was set up",
 	limits.TenantOverShare:    "the brand holds its share and others use theirs; nothing was set up",
 	limits.TitleOverShare:     "other titles of the brand go first for the moment; nothing was set up",
 }
 
-// complete delivers the one result of a request.
+// complete delivers the one result of a request. The results in the log line are external names.
 func (d *Director) complete(req *sessionRequest, r requestResult) {
 	if d.requests[req.id] != req {
 		return
--- a/internal/director/response.go
+++ b/internal/director/response.go
@@ -150,7 +150,8 @@
 	return base + "/dash/" + req.title.Name + "/manifest.mpd?token=" + req.claims.raw
 }
 
-// logAnswer writes the one log line that each answer has.
+// logAnswer writes the one log line that each answer has. The package comment explains its external names; "last" is the
+// outcome of the last attempt.
 func (d *Director) logAnswer(req *sessionRequest, s *session, result string, status int, reason string) {
 	attrs := make([]slog.Attr, 0, 16)
 	attrs = append(attrs, slog.String("result", result), slog.Int("status", status), slog.String("reason", reason),
--- a/internal/director/session.go
+++ b/internal/director/session.go
@@ -22,7 +22,7 @@
 const (
 	sessionPending sessionState = iota // the module is placing it; an attempt is in flight or follows
 	sessionPlaying                     // it streams from its media node
-	sessionEnded                       // the module has released it; the ledger may still know it
+	sessionEnded                       // it has ended; the ledger may still know it
 )
 
 // session is one entry of the session table, from the ledger's StartSetup to its ForgetSession.
@@ -32,7 +32,7 @@
 	title         *title
 	state         sessionState
 	rung          int // the rung in force, as the module last set it
-	sentRung      int // the rung last sent to the media node
+	sentRung      int // the rung last sent to the media node, with the set-up or as a rung change
 	node          headmill.NodeID
 	mediaURL      string        // base URL of its media at the media node
 	setup         *setupAttempt // the attempt in flight, or one given up whose late answer is awaited
@@ -50,7 +50,7 @@
 // sessionClaims is the part of a token that a session keeps, with the results of admission control.
 type sessionClaims struct {
 	raw, jti, viewer, tenant string
-	playerFamily             string // player family given in the token
+	playerFamily             string // kind of player, as the token's issuer names it; a dimension of decide/quality
 	maxRung                  int    // highest rung: the viewer's limit, or lower if the tenant's share requires
 	fingerprint              uint64
 	tenantIndex              int
@@ -218,8 +218,8 @@
 			s.trace.End("failed: " + reason.String())
 		}
 	case headmill.ActTimer:
-		name := a.TimerID
-		d.loop.At(a.AtMs, func() { d.queueModuleEvent(headmill.Event{Kind: headmill.EvTimer, TimerID: name}) })
+		timerID := a.TimerID
+		d.loop.At(a.AtMs, func() { d.queueModuleEvent(headmill.Event{Kind: headmill.EvTimer, TimerID: timerID}) })
 	case headmill.ActSubscribe:
 		d.discovery.scheduleConnect()
 	case headmill.ActLog:
@@ -259,7 +259,8 @@
 	return headmill.LoadReport{Present: l.Present, Streams: l.Streams, LinkLoad: l.LinkLoad, UplinkLoad: l.UplinkLoad}
 }
 
-// endSession ends a playing session: the media node reported its end, the node was lost, or this director ends it.
+// endSession ends a playing session: the media node reported its end, the node was lost, or this director ends it. The
+// reason is an external name, for the player, the log and the trace.
 func (d *Director) endSession(s *session, outcome headmill.Outcome, load orca.Load, reason string) {
 	if s.state != sessionPlaying {
 		return
@@ -304,10 +305,12 @@
 			})
 		}
 	}
+	// "ended here": by this director.
 	d.endSession(s, headmill.OutcomeCancelled, orca.Load{}, "ended here")
 }
 
-// adoptSession hands a session over to the module that plays although its attempt had been given up.
+// adoptSession carries out the ledger's AdoptSession: after a late success it reports a session to the module, to
+// admission control and to decide/quality that plays although its attempt had been given up.
 func (d *Director) adoptSession(s *session) {
 	now := d.loop.Now()
 	s.state, s.playingSince = sessionPlaying, now
@@ -353,8 +356,8 @@
 	d.quotas.Release(limits.Reports, int64(len(s.lastReport)))
 }
 
-// retryAfter returns, in ms, after what time a refused viewer should retry. Admission control spreads the retries. If
-// advice is disabled, the module gives none (0), and neither does this.
+// retryAfter returns the time, in ms, after which a viewer that the module refused should retry. Admission control
+// spreads the retries. If advice is disabled, the module gives none (0), and neither does this.
 func (d *Director) retryAfter(s *session, moduleAdviceMs float64) float64 {
 	a := d.admission.Step(d.loop.Now(), []limits.Event{{
 		Kind:       limits.PlacementRefused,
--- a/internal/director/setup.go
+++ b/internal/director/setup.go
@@ -32,11 +32,12 @@
 	timer        *loop.Timer
 	loadReport   orca.Load
 	mediaURL     string
-	rung         int
+	rung         int  // as sent with the set-up
 	awaitingLate bool // the connection stays open for a late answer
 }
 
-// moduleOutcomes has the module's outcome for each outcome of an attempt except success.
+// moduleOutcomes has the module's outcome for each outcome of an attempt except OutcomePlaying. OutcomeNeverSent counts
+// as a failed connect.
 var moduleOutcomes = map[attempt.Outcome]headmill.Outcome{
 	attempt.OutcomeFull:      headmill.OutcomeFull,
 	attempt.OutcomeNeverSent: headmill.OutcomeConnectFailed,
--- a/internal/director/testenv_test.go
+++ b/internal/director/testenv_test.go
@@ -211,7 +211,7 @@
 	e.t.Fatalf("timed out after 15 s waiting until %s\n%s", what, e.log)
 }
 
-// token mints a session token for the title of a class, valid for a minute.
+// token signs a session token for the title of a class, valid for a minute.
 func (e *testEnv) token(class, jti string) string {
 	e.t.Helper()
 	return e.tokenFor(class, jti, time.Minute)
--- a/internal/director/websocket.go
+++ b/internal/director/websocket.go
@@ -119,7 +119,7 @@
 // Connected implements loop.Handler. It is never called for accepted connections.
 func (w *webSocket) Connected(*loop.Conn) {}
 
-// Drained implements loop.Handler.
+// Flushed implements loop.Handler. It does nothing, since writes are never paused.
 func (w *webSocket) Flushed(*loop.Conn) {}
 
 // Data parses frames.
@@ -133,7 +133,7 @@
 	}
 }
 
-// Closed cancels the pending requests and detaches the sessions, which live on for times.tie_ms.
+// Closed cancels the pending requests and detaches the sessions, which play on for Times.DetachedTTLMs (times.tie_ms).
 func (w *webSocket) Closed(_ *loop.Conn, err error) {
 	d := w.director
 	if errors.Is(err, loop.ErrSlowReader) {
@@ -351,6 +351,7 @@
 // counted.
 func (w *webSocket) handleReport(m *pb.Report) {
 	d := w.director
+	// The reports of two intervals may come at once, of one session those of four.
 	w.reportLimiter.RatePerMs = float64(max(len(w.sessions), 1)) / d.cfg.Times.ReportMs
 	w.reportLimiter.Burst = float64(2 * max(len(w.sessions), 2))
 	if !w.reportLimiter.Allow(d.loop.Now()) || len(m.Cmcd) > maxReportBytes {
