--- a/internal/platform/proxy/config.go
+++ b/internal/platform/proxy/config.go
@@ -169,8 +169,9 @@
 	return strings.Split(s, ",")
 }
 
-// Flatten turns nested settings into the key paths of the simulator's first message: a list of plain values is joined
-// with commas; a list of objects has its length under .count and its items under .0, .1 and so on.
+// Flatten turns nested settings into the key paths that wire.ReadSettings reads, those of the simulator's first message:
+// a list of plain values is joined with commas; a list of objects has its length under .count and its items under .0, .1
+// and so on.
 func Flatten(text []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
