--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -610,7 +610,7 @@
 	env := newTestEnv(t, 1, nil)
 	env.discovery.Close()
 	env.waitUntil("the failure is logged", func() bool {
-		return strings.Contains(env.log.String(), "node list unavailable")
+		return strings.Contains(env.log.String(), "box list is not at hand")
 	})
 	env.wantStatus("on the last list", env.get("free", env.token("free", "a")), 200)
 }
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -54,7 +54,7 @@
 func (c *discoveryClient) connectionFailed(operation string, err error) {
 	c.failures++
 	if c.failures <= 3 || c.failures%100 == 0 {
-		c.director.log.Warn("node list unavailable; the last one stays in force",
+		c.director.log.Warn("box list is not at hand; the last one stays in force",
 			"at", operation, "error", err, "tries", c.failures)
 	}
 	c.director.queueModuleEvent(headmill.Event{Kind: headmill.EvNodes, ListUnavailable: true})
@@ -157,10 +157,10 @@
 			Capacity: d.capacity.Estimate(d.nodeList.Nodes()),
 		}}, nil)
 	case discovery.Gap: // a new stream begins with the full list
-		d.log.Warn("gap in node list versions; requesting the full list",
+		d.log.Warn("box list has a gap; asking for the whole",
 			"version", m.Version, "have", d.nodeList.Version())
 		c.conn.Close(loop.ErrClosedByOwner)
 	case discovery.Invalid:
-		d.log.Error("invalid node list; the last one stays in force", "error", err.Error())
+		d.log.Error("box list is not usable; the last one stays in force", "error", err.Error())
 	}
 }
--- a/internal/director/http.go
+++ b/internal/director/http.go
@@ -42,7 +42,7 @@
 	if !d.quotas.Acquire(limits.Connections, 1) {
 		if now := d.loop.Now(); now-d.lastConnLimitLogAt > logIntervalMs {
 			d.lastConnLimitLogAt = now
-			d.log.Warn("connection refused: limits.connections is reached",
+			d.log.Warn("connections closed at once: limits.connections is reached",
 				"connections", d.quotas.Usage(limits.Connections).Used)
 		}
 		return nil
--- a/internal/platform/proxy/proxy.go
+++ b/internal/platform/proxy/proxy.go
@@ -256,7 +256,7 @@
 func (p *Proxy) Reload(cfg *Config) {
 	p.loop.Post(func() {
 		if err := p.discovery.connect(cfg.DNS); err != nil {
-			p.log.Error("cannot use the new address of the discovery service; keeping the old one", "dns", cfg.DNS,
+			p.log.Error("name service's new address can't be used; the old one stays", "dns", cfg.DNS,
 				"error", err.Error())
 		}
 	})
