--- a/cmd/headmill/main_test.go
+++ b/cmd/headmill/main_test.go
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	spec := cluster.SmallSpec(directors, nodes, 3, 20000)
-	spec.Executable, spec.Dir, spec.ListStartDelayMs = exe, t.TempDir(), 0
+	spec.Executable, spec.Dir, spec.DiscoveryStartDelayMs = exe, t.TempDir(), 0
 	if edit != nil {
 		edit(&spec)
 	}
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	run := &scenario.Run{Script: script, Exe: exe, Dir: t.TempDir(), Printf: t.Logf}
-	report, err := run.Play()
+	report, err := run.Execute()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 		t.Fatal(err)
 	}
 	run := &scenario.Run{Script: script, Exe: exe, Dir: t.TempDir(), Printf: t.Logf}
-	report, err := run.Play()
+	report, err := run.Execute()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -451,7 +451,7 @@
 			spec.Base.Titles[i].FirstCell, spec.Base.Titles[i].Copies = i%8, 1
 		}
 	}}
-	report, err := run.Play()
+	report, err := run.Execute()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -468,7 +468,7 @@
 		// A director with sessions on only one node of the rack cannot tell the node from the rack.
 		if !(finding.Group == "rack" && finding.Name == "1" || finding.Group == "box" && run.RackOfNode(finding.Name) == 1) {
 			t.Errorf("%s finds %s %s", finding.Director, finding.Group, finding.Name)
-		} else if !finding.Over {
+		} else if !finding.Ended {
 			found++
 		}
 	}
--- a/cmd/headmill/rehearse.go
+++ b/cmd/headmill/rehearse.go
@@ -69,7 +69,7 @@
 	run.Printf = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	fmt.Fprintln(os.Stderr, "rehearsal:", script)
 	started := time.Now()
-	report, err := run.Play()
+	report, err := run.Execute()
 	if err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 			finding.Name += fmt.Sprintf(" (rack %d)", rack)
 		}
 		if i < 40 {
-			row(fmt.Sprintf("finding at %.1f s", finding.At), map[bool]string{true: "over"}[finding.Over],
+			row(fmt.Sprintf("finding at %.1f s", finding.At), map[bool]string{true: "over"}[finding.Ended],
 				fmt.Sprintf("%s: %s %s, load %.2f", finding.Director, finding.Group, finding.Name, finding.Load))
 		}
 	}
--- a/cmd/headmill/up.go
+++ b/cmd/headmill/up.go
@@ -43,7 +43,7 @@
 	}
 	spec := cluster.SmallSpec(c.Directors, c.Nodes, 6, c.ClipS*1000)
 	spec.Executable, spec.Dir = exe, dir
-	spec.ListStartDelayMs, spec.NodeConfig.IdleTimeoutMs = 0, 30000
+	spec.DiscoveryStartDelayMs, spec.NodeConfig.IdleTimeoutMs = 0, 30000
 	fleet, err := cluster.New(spec)
 	if err != nil {
 		return err
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -32,16 +32,16 @@
 
 // Spec describes a fleet.
 type Spec struct {
-	Directors, Nodes       int              // number of directors and of media nodes
-	Racks                  int              // media nodes are spread over the racks in turn
-	Relays                 bool             // recording relays stand between viewers, directors, nodes and discovery
-	Base                   config.Settings  // settings that all directors share
-	NodeConfig             medianode.Config // configuration that all media nodes share
-	ListStateDelayMs       float64          // discovery.Config.StateDelayMs
-	ListStartDelayMs       float64          // discovery.Config.StartDelayMs
-	ListHeartbeatTimeoutMs float64          // discovery.Config.SilentMs
-	Executable             string           // path of the headmill executable
-	Dir                    string           // folder for settings, keys and logs
+	Directors, Nodes      int              // number of directors and of media nodes
+	Racks                 int              // media nodes are spread over the racks in turn
+	Relays                bool             // recording relays stand between viewers, directors, nodes and discovery
+	Base                  config.Settings  // settings that all directors share
+	NodeConfig            medianode.Config // configuration that all media nodes share
+	DiscoveryStateDelayMs float64          // discovery.Config.StateDelayMs
+	DiscoveryStartDelayMs float64          // discovery.Config.StartDelayMs
+	HeartbeatTimeoutMs    float64          // discovery.Config.SilentMs
+	Executable            string           // path of the headmill executable
+	Dir                   string           // folder for settings, keys and logs
 }
 
 // Proc is one process of the fleet.
@@ -127,8 +127,8 @@
 		return nil, err
 	}
 	var err error
-	cluster.Discovery, err = discovery.Start(discovery.Config{Addr: "127.0.0.1:0", StateDelayMs: spec.ListStateDelayMs,
-		StartDelayMs: spec.ListStartDelayMs, HeartbeatTimeoutMs: spec.ListHeartbeatTimeoutMs})
+	cluster.Discovery, err = discovery.Start(discovery.Config{Addr: "127.0.0.1:0", StateDelayMs: spec.DiscoveryStateDelayMs,
+		StartDelayMs: spec.DiscoveryStartDelayMs, HeartbeatTimeoutMs: spec.HeartbeatTimeoutMs})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/cluster/small.go
+++ b/internal/standin/cluster/small.go
@@ -39,7 +39,7 @@
 		scale[class.Name] = class.RateScale
 	}
 	return Spec{Directors: directors, Nodes: nodes, Racks: racks, Base: settings,
-		ListStateDelayMs: 800, ListStartDelayMs: 200, ListHeartbeatTimeoutMs: 1500,
+		DiscoveryStateDelayMs: 800, DiscoveryStartDelayMs: 200, HeartbeatTimeoutMs: 1500,
 		NodeConfig: medianode.Config{RateKB: settings.Ladder.RateKB, ClassScale: scale, LinkKB: linkKB, UplinkKB: uplinkKB,
 			MaxSessions: streams, Cores: 4, SetupWorkMs: 25, SegmentMs: 1000, IdleTimeoutMs: 5000, OrphanTimeoutMs: 3000, LoadReportIntervalMs: 2000,
 			LoadReportDelayMs: 600, WarmUpMs: 6000, ColdRateFraction: 0.4, OverloadFactor: 2, OverloadWindowMs: 1000}}
--- a/internal/standin/scenario/run.go
+++ b/internal/standin/scenario/run.go
@@ -56,7 +56,7 @@
 }
 
 // Play runs the script to its end and returns the audit report on what the relays recorded.
-func (r *Run) Play() (*audit.Report, error) {
+func (r *Run) Execute() (*audit.Report, error) {
 	script := r.Script
 	spec := cluster.SmallSpec(script.Directors, script.Nodes, script.Titles, script.TitleDurationS*1000)
 	spec.Executable, spec.Dir, spec.Relays = r.Exe, r.Dir, true
@@ -102,7 +102,7 @@
 			time.Sleep(time.Until(startedAt.Add(secondsDuration(trouble.AtS))))
 			r.logf("%5.1f s  %s on %s for %.0f s", time.Since(startedAt).Seconds(), trouble.Name,
 				targetNames(trouble, targets), trouble.DurationS)
-			r.playTrouble(trouble, targets)
+			r.injectTrouble(trouble, targets)
 		}()
 	}
 	r.ctx, r.client = ctx, player.NewClient()
@@ -189,7 +189,7 @@
 }
 
 // playTrouble injects a trouble into its targets, waits for its length and removes it.
-func (r *Run) playTrouble(trouble Trouble, targets []int) {
+func (r *Run) injectTrouble(trouble Trouble, targets []int) {
 	wait := func() { time.Sleep(secondsDuration(trouble.DurationS)) }
 	apply := func(begin, end func(f *medianode.Faults)) {
 		for _, i := range targets {
@@ -387,7 +387,7 @@
 // Finding is a finding of the quality detector in a director's log.
 type Finding struct {
 	Director, Group, Name string
-	Over                  bool
+	Ended                 bool
 	Load                  float64
 	At                    float64 // seconds since the start of the rehearsal
 }
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -166,7 +166,7 @@
 // previous one, whose entries are discarded.
 type Checker struct {
 	keys           keySet
-	keyGeneration  int // number of calls of SetKeys
+	keySetVersion  int // number of calls of SetKeys
 	generationSize int
 	current        map[string]*Claims // claims of verified tokens by raw token, newer generation
 	previous       map[string]*Claims // the older generation; discarded when current is full
@@ -186,7 +186,7 @@
 	for _, key := range keys {
 		c.keys[key.KID] = key.Public
 	}
-	c.keyGeneration++
+	c.keySetVersion++
 	c.current, c.previous = map[string]*Claims{}, nil
 }
 
@@ -221,7 +221,7 @@
 
 // VerifySignature returns the claims of a token whose signature is valid, without checking its times.
 func (c *Checker) VerifySignature(raw string) (*Claims, error) {
-	if claims := c.cached(raw); claims != nil {
+	if claims := c.lookup(raw); claims != nil {
 		return claims, nil
 	}
 	if err := checkLength(raw); err != nil {
@@ -234,7 +234,7 @@
 	return claims, err
 }
 
-func (c *Checker) cached(raw string) *Claims {
+func (c *Checker) lookup(raw string) *Claims {
 	if claims := c.current[raw]; claims != nil {
 		return claims
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -35,19 +35,19 @@
 
 // Codes of event records.
 const (
-	eventSignal       = 1
-	eventHeaders      = 2
-	eventQuery        = 3
-	eventBell         = 4
-	eventMessage      = 5
-	eventPreexisting  = 6
-	eventSync         = 7
-	eventHealthResult = 8
-	eventOpenInstance = 9
-	eventWithdrawn    = 10
-	eventSettled      = 11
-	eventList         = 12
-	eventExit         = 13
+	eventFeedback        = 1
+	eventAttemptPlaying  = 2
+	eventRequest         = 3
+	eventTimer           = 4
+	eventMessage         = 5
+	eventExistingSession = 6
+	eventNodes           = 7
+	eventHealthResult    = 8
+	eventOpenInstance    = 9
+	eventViewerLeft      = 10
+	eventAttemptEnded    = 11
+	eventList            = 12
+	eventExit            = 13
 )
 
 // Codes of action records.
@@ -218,28 +218,28 @@
 	m.Instance = u16(b[1:])
 	ev := &m.Event
 	switch b[0] {
-	case eventSignal:
+	case eventFeedback:
 		ev.Kind, ev.Session = headmill.EvFeedback, headmill.SessionID(u32(b[3:]))
 		ev.Node, ev.Feedback, ev.FeedbackValue = nodeID(b[9:]), headmill.FeedbackKind(b[15]), f32(b[16:])
-	case eventHeaders:
+	case eventAttemptPlaying:
 		ev.Kind, ev.Session = headmill.EvAttemptPlaying, headmill.SessionID(u32(b[3:]))
 		ev.Node, ev.LatencyMs = nodeID(b[9:]), f64(b[15:])
-	case eventQuery:
+	case eventRequest:
 		ev.Kind, ev.Session, ev.Class = headmill.EvRequest, headmill.SessionID(u32(b[3:])), int(u16(b[7:]))
 		ev.Title = u64(b[21:])
 		ev.TimeLeftMs = f64(b[29:])
-		err = decodePlacement(ev, b[37:], b[45:], b[49:], b[53:], b[57])
-	case eventBell:
+		err = decodeTitleAndLimits(ev, b[37:], b[45:], b[49:], b[53:], b[57])
+	case eventTimer:
 		ev.Kind, ev.TimerID = headmill.EvTimer, u64(b[3:])
 	case eventMessage:
 		_, err = tailBytes(b[5:], tail, 1)
 		return m, false, err // the fronts send each other no messages
-	case eventPreexisting:
+	case eventExistingSession:
 		ev.Kind, ev.Session = headmill.EvExistingSession, headmill.SessionID(u32(b[3:]))
 		ev.Node, ev.TimeLeftMs = nodeID(b[15:]), f64(b[46:])
 		ev.Class, ev.Title = int(u16(b[54:])), u64(b[56:])
-		err = decodePlacement(ev, b[38:], b[26:], b[34:], b[21:], b[25])
-	case eventSync:
+		err = decodeTitleAndLimits(ev, b[38:], b[26:], b[34:], b[21:], b[25])
+	case eventNodes:
 		ev.Kind = headmill.EvNodes
 		switch b[3] { // kind of the update
 		case 0, 1: // a whole list
@@ -270,9 +270,9 @@
 				d.SetFields(m.Instance, s.Fields)
 			}
 		}
-	case eventWithdrawn:
+	case eventViewerLeft:
 		ev.Kind, ev.Session = headmill.EvViewerLeft, headmill.SessionID(u32(b[3:]))
-	case eventSettled:
+	case eventAttemptEnded:
 		ev.Kind, ev.Session, ev.SessionOver = headmill.EvAttemptEnded, headmill.SessionID(u32(b[3:])), b[7] != 0
 		ev.LatencyMs, ev.Outcome = f64(b[10:]), headmill.Outcome(u16(b[18:]))
 		ev.Node = nodeID(b[20:])
@@ -289,7 +289,7 @@
 
 // decodePlacement reads where an event's title is stored, the highest rung that the player can use and, if the flags
 // say that there is one, the hint at the session's duration.
-func decodePlacement(ev *headmill.Event, durationHint, firstCell, copies, maxRung []byte, flags byte) (err error) {
+func decodeTitleAndLimits(ev *headmill.Event, durationHint, firstCell, copies, maxRung []byte, flags byte) (err error) {
 	if ev.FirstCell, err = smallCount(firstCell); err != nil {
 		return fmt.Errorf("base: %w", err)
 	}
