--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,8 +1,9 @@
 // Command benchlink connects headmill's decision module to the simulator (and
-// has nothing to do with package bench): it reads batches of events in the format of package wire from standard input and
-// writes one reply with the resulting actions for each batch to standard output.
-// It ends at the end of the input, and with status 1 on a batch that it cannot
-// decode or that does not fit the open instances.
+// has nothing to do with package bench): it reads batches of events in the
+// format of package wire from standard input and writes one reply with the
+// resulting actions for each batch to standard output. It ends at the end of the
+// input, and with status 1 on a batch that it cannot decode or that does not fit
+// the open instances.
 package main
 
 import (
