--- a/cmd/headmill/quality.go
+++ b/cmd/headmill/quality.go
@@ -44,8 +44,8 @@
 	return t, nil
 }
 
-// Run reads the history of the period, writes the plots and prints the causes of lost quality (the printed heading calls it worth). Damaged files are named
-// and left out.
+// Run reads the history of the period, writes the plots and prints the causes of lost quality, which the printed heading
+// calls worth. Damaged files are named and left out.
 func (c *reportCmd) Run() error {
 	now := time.Now()
 	from, err := parseTime(c.From, now)
--- a/internal/audit/verify_test.go
+++ b/internal/audit/verify_test.go
@@ -334,7 +334,7 @@
 	}
 }
 
-// A reported share below the limit reduces the worth by the terms.
+// A reported share below 0.98 reduces the worth by Terms.ShortfallPenalty.
 func TestShortShareReducesWorth(t *testing.T) {
 	r := validRecording()
 	r.exchange("b0", 50, "GET /notes?director=d0 HTTP/1.1\r\nHost: x\r\n\r\n", 2140,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -179,7 +179,7 @@
 	Worth           []float64 `toml:"worth"`      // worth of each rung: utility per second; see headmill.Config.RungWorth
 	Width           []int     `toml:"width"`      // picture width of each rung, pixels
 	SegmentMs       float64   `toml:"segment_ms"` // duration of a media segment
-	RungChangeCostS float64   `toml:"switch_s"`   // cost of a rung change, in seconds of worth
+	RungChangeCostS float64   `toml:"switch_s"`   // cost of a rung change, in seconds of the rungs' worth
 }
 
 // Fleet describes the media nodes as far as they are known in advance; see headmill.Config for its fields.
@@ -248,8 +248,8 @@
 			Output: 262144, LedgerEntries: 200000, Waiters: 8, Nodes: 1024, IdleConnsPerNode: 64, EventBytes: 1 << 20,
 			ConnsPerNode: 512, Sessions: 100000, CommandsPerNode: 4096, TotalOutput: 256 << 20, Reports: 16 << 20,
 			Timelines: 64 << 20, Message: 16384, PendingPerSocket: 16, SessionsPerSocket: 64, SocketSessions: 100000},
-		Quality: Quality{WindowMs: 5000, AllowedLatenessMs: 25000, MaxClockSkewMs: 3600e3, SessionRetentionMs: 120000, DetectIntervalMs: 500,
-			ConfirmMs: 1500, MaxGroups: 4096, SwitchCost: 1, StallCost: 3, StartupCost: 0.2, ShortfallBelow: 0.9,
+		Quality: Quality{WindowMs: 5000, AllowedLatenessMs: 25000, MaxClockSkewMs: 3600e3, SessionRetentionMs: 120000,
+			DetectIntervalMs: 500, ConfirmMs: 1500, MaxGroups: 4096, SwitchCost: 1, StallCost: 3, StartupCost: 0.2, ShortfallBelow: 0.9,
 			MinSessions: 6, MinScore: 8, Relieve: true},
 		Trace:     Trace{SampleRatio: 0.01},
 		History:   History{SegmentS: 60, MaxBytes: 256 << 20, MaxAgeS: 30 * 86400},
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -10,7 +10,7 @@
 //	state     meaning           left when
 //	ready     heartbeats come   it is marked as draining; heartbeats stop
 //	draining  marked by Drain   the mark is taken back; heartbeats stop
-//	gone      heartbeats ended  a heartbeat comes again
+//	gone      heartbeats ended  a heartbeat is received
 package discovery
 
 import (
--- a/internal/standin/medianode/node.go
+++ b/internal/standin/medianode/node.go
@@ -527,7 +527,8 @@
 		}
 		load, delayMs := node.loadReport(), node.config.LoadReportDelayMs+node.faults.EventDelayMs
 		share := node.bandwidthShare()
-		sendLoad := milliseconds(now.Sub(lastLoadEventAt)) >= node.config.LoadReportIntervalMs && node.config.LoadReportIntervalMs > 0
+		sendLoad := milliseconds(now.Sub(lastLoadEventAt)) >= node.config.LoadReportIntervalMs &&
+			node.config.LoadReportIntervalMs > 0
 		// Sessions count as short of their rates below a share of 0.98.
 		sendShare := milliseconds(now.Sub(lastShareEventAt)) >= 1000 && (share < 0.98 || node.reportedShortage)
 		if sendShare {
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -222,8 +222,8 @@
 }
 
 // forward carries one direction of a connection. ClientData is recorded when it has been read from the client,
-// ServerData when it is about to be written to the client. Reading goes on during a stall, so that the end of a side is recorded when
-// it happens.
+// ServerData when it is about to be written to the client. Reading goes on during a stall, so that the end of a side is
+// recorded when it happens.
 func (r *Relay) forward(id int, from, to net.Conn, direction Kind, passed *atomic.Int64) {
 	end := ClientEnd
 	if direction == ServerData {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,7 +8,7 @@
 	"headmill"
 )
 
-// Settings is what an instance receives at its start: the module's Config and
+// Settings is what an instance receives at its start: headmill.Config and
 // the order of the load report's fields, which only the decoder needs.
 type Settings struct {
 	Config headmill.Config
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -213,7 +213,8 @@
 	return r
 }
 
-// decodeEvent translates one record; deliver is false for a record that is no event of the module.
+// decodeEvent translates one record; deliver is false for a record that is no event of the decision
+// module.
 func (d *Decoder) decodeEvent(b, tail []byte) (m Message, deliver bool, err error) {
 	m.Instance = u16(b[1:])
 	ev := &m.Event
