--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -244,8 +244,8 @@
 	}
 }
 
-// Reusable notices a peer's close that has reached the kernel before the loop has handled it, so that nothing is written to
-// a closed connection.
+// Reusable notices a peer's close that has reached the kernel before the loop has handled it, so that nothing is written
+// to a closed connection.
 func TestIdleDetectsPeerClose(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
