--- a/internal/standin/cluster/small.go
+++ b/internal/standin/cluster/small.go
@@ -7,8 +7,8 @@
 	"headmill/internal/standin/medianode"
 )
 
-// SmallSpec returns the specification of a fleet for loopback. Its rates are a small part of real ones, so that one machine
-// can carry the whole fleet. durationMs is the duration of the shortest titles.
+// SmallSpec returns the specification of a cluster for loopback. Its rates are a small part of real ones, so that one
+// machine can carry the whole cluster. durationMs is the duration of the shortest titles.
 func SmallSpec(directors, nodes, titles int, durationMs float64) Spec {
 	settings := config.Default()
 	settings.Ladder = config.Ladder{RateKB: []float64{6, 14, 28, 56}, Worth: []float64{0.2, 0.5, 0.76, 1},
@@ -39,7 +39,7 @@
 		scale[class.Name] = class.RateScale
 	}
 	return Spec{Directors: directors, Nodes: nodes, Racks: racks, Base: settings,
-		ListStateDelayMs: 800, ListStartDelayMs: 200, ListHeartbeatTimeoutMs: 1500,
+		DiscoveryStateDelayMs: 800, DiscoveryStartDelayMs: 200, HeartbeatTimeoutMs: 1500,
 		NodeConfig: medianode.Config{RateKB: settings.Ladder.RateKB, ClassScale: scale, LinkKB: linkKB, UplinkKB: uplinkKB,
 			MaxSessions: streams, Cores: 4, SetupWorkMs: 25, SegmentMs: 1000, IdleTimeoutMs: 5000, OrphanTimeoutMs: 3000, LoadReportIntervalMs: 2000,
 			LoadReportDelayMs: 600, WarmUpMs: 6000, ColdRateFraction: 0.4, OverloadFactor: 2, OverloadWindowMs: 1000}}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -33,24 +33,24 @@
 	maxNodeLists  = 16      // numbered node lists that are kept at the same time
 )
 
-// Codes of event records.
+// Codes of event records. The simulator's own names differ for some; these are named after the decision module's events.
 const (
-	eventSignal       = 1
-	eventHeaders      = 2
-	eventQuery        = 3
-	eventBell         = 4
-	eventMessage      = 5
-	eventPreexisting  = 6
-	eventSync         = 7
-	eventHealthResult = 8
-	eventOpenInstance = 9
-	eventWithdrawn    = 10
-	eventSettled      = 11
-	eventList         = 12
-	eventExit         = 13
+	eventFeedback        = 1
+	eventAttemptPlaying  = 2
+	eventRequest         = 3
+	eventTimer           = 4
+	eventMessage         = 5
+	eventExistingSession = 6
+	eventNodes           = 7
+	eventHealthResult    = 8
+	eventOpenInstance    = 9
+	eventViewerLeft      = 10
+	eventAttemptEnded    = 11
+	eventList            = 12
+	eventExit            = 13
 )
 
-// Codes of action records.
+// Codes of the action records that Encoder writes.
 const (
 	actionSetup     = 1
 	actionRefuse    = 2
@@ -152,7 +152,7 @@
 	return headmill.NodeID(u32(b)) | headmill.NodeID(u16(b[4:]))<<32
 }
 
-// smallCount reads a small whole number that the protocol carries as a float.
+// smallCount reads a small whole number that the protocol carries as a float. Values from 1<<20 on are rejected.
 func smallCount(b []byte) (int, error) {
 	v := f32(b)
 	if !(v >= 0 && v < 1<<20) {
@@ -173,7 +173,7 @@
 // decodeReport reads a load report: the number of values, then that many of the instance's fields.
 func (d *Decoder) decodeReport(instance uint16, b []byte) (headmill.LoadReport, error) {
 	count := int(b[0])
-	if count > 4 {
+	if count > 4 { // most values of a load report in the protocol
 		return headmill.LoadReport{Streams: -1, LinkLoad: -1, UplinkLoad: -1},
 			fmt.Errorf("load report has %d values, at most 4 are allowed", count)
 	}
@@ -213,33 +213,34 @@
 	return r
 }
 
-// decodeEvent translates one record; deliver is false for a record that is no event of the module.
+// decodeEvent translates one record; deliver is false for a record that is no event of the decision
+// module.
 func (d *Decoder) decodeEvent(b, tail []byte) (m Message, deliver bool, err error) {
 	m.Instance = u16(b[1:])
 	ev := &m.Event
 	switch b[0] {
-	case eventSignal:
+	case eventFeedback:
 		ev.Kind, ev.Session = headmill.EvFeedback, headmill.SessionID(u32(b[3:]))
 		ev.Node, ev.Feedback, ev.FeedbackValue = nodeID(b[9:]), headmill.FeedbackKind(b[15]), f32(b[16:])
-	case eventHeaders:
+	case eventAttemptPlaying:
 		ev.Kind, ev.Session = headmill.EvAttemptPlaying, headmill.SessionID(u32(b[3:]))
 		ev.Node, ev.LatencyMs = nodeID(b[9:]), f64(b[15:])
-	case eventQuery:
+	case eventRequest:
 		ev.Kind, ev.Session, ev.Class = headmill.EvRequest, headmill.SessionID(u32(b[3:])), int(u16(b[7:]))
 		ev.Title = u64(b[21:])
 		ev.TimeLeftMs = f64(b[29:])
-		err = decodePlacement(ev, b[37:], b[45:], b[49:], b[53:], b[57])
-	case eventBell:
+		err = decodeTitleAndLimits(ev, b[37:], b[45:], b[49:], b[53:], b[57])
+	case eventTimer:
 		ev.Kind, ev.TimerID = headmill.EvTimer, u64(b[3:])
 	case eventMessage:
 		_, err = tailBytes(b[5:], tail, 1)
 		return m, false, err // the fronts send each other no messages
-	case eventPreexisting:
+	case eventExistingSession:
 		ev.Kind, ev.Session = headmill.EvExistingSession, headmill.SessionID(u32(b[3:]))
 		ev.Node, ev.TimeLeftMs = nodeID(b[15:]), f64(b[46:])
 		ev.Class, ev.Title = int(u16(b[54:])), u64(b[56:])
-		err = decodePlacement(ev, b[38:], b[26:], b[34:], b[21:], b[25])
-	case eventSync:
+		err = decodeTitleAndLimits(ev, b[38:], b[26:], b[34:], b[21:], b[25])
+	case eventNodes:
 		ev.Kind = headmill.EvNodes
 		switch b[3] { // kind of the update
 		case 0, 1: // a whole list
@@ -251,11 +252,11 @@
 			return m, false, fmt.Errorf("unknown node list kind %d", b[3])
 		}
 		if !ev.ListUnavailable {
-			slot := u32(b[12:])
-			if slot >= maxNodeLists {
-				return m, false, fmt.Errorf("list number %d", slot)
+			listNumber := u32(b[12:])
+			if listNumber >= maxNodeLists {
+				return m, false, fmt.Errorf("list number %d", listNumber)
 			}
-			ev.Nodes = d.nodeLists[slot]
+			ev.Nodes = d.nodeLists[listNumber]
 		}
 	case eventHealthResult:
 		_, err = d.decodeReport(m.Instance, b[19:])
@@ -270,9 +271,9 @@
 				d.SetFields(m.Instance, s.Fields)
 			}
 		}
-	case eventWithdrawn:
+	case eventViewerLeft:
 		ev.Kind, ev.Session = headmill.EvViewerLeft, headmill.SessionID(u32(b[3:]))
-	case eventSettled:
+	case eventAttemptEnded:
 		ev.Kind, ev.Session, ev.SessionOver = headmill.EvAttemptEnded, headmill.SessionID(u32(b[3:])), b[7] != 0
 		ev.LatencyMs, ev.Outcome = f64(b[10:]), headmill.Outcome(u16(b[18:]))
 		ev.Node = nodeID(b[20:])
@@ -287,9 +288,9 @@
 	return m, err == nil, err
 }
 
-// decodePlacement reads where an event's title is stored, the highest rung that the player can use and, if the flags
-// say that there is one, the hint at the session's duration.
-func decodePlacement(ev *headmill.Event, durationHint, firstCell, copies, maxRung []byte, flags byte) (err error) {
+// decodeTitleAndLimits reads where an event's title is stored, the highest rung that the player can use and, if the flags
+// say that there is one, the hint at the session's duration. The errors name the fields as the protocol does.
+func decodeTitleAndLimits(ev *headmill.Event, durationHint, firstCell, copies, maxRung []byte, flags byte) (err error) {
 	if ev.FirstCell, err = smallCount(firstCell); err != nil {
 		return fmt.Errorf("base: %w", err)
 	}
@@ -307,9 +308,9 @@
 
 // decodeNodeList reads a numbered node list, which later events refer to.
 func (d *Decoder) decodeNodeList(b, tail []byte) error {
-	slot := u32(b[1:])
-	if slot >= maxNodeLists {
-		return fmt.Errorf("list number %d", slot)
+	listNumber := u32(b[1:])
+	if listNumber >= maxNodeLists {
+		return fmt.Errorf("list number %d", listNumber)
 	}
 	raw, err := tailBytes(b[5:], tail, nodeEntrySize)
 	if err != nil {
@@ -321,7 +322,7 @@
 			StartedAtMs: f64(raw), Cell: int(u16(raw[8:])), Health: headmill.Health(raw[10]),
 			Weight: f32(raw[11:]), ID: nodeID(raw[15:]), Kind: int(raw[21]), Zone: int(raw[22])})
 	}
-	d.nodeLists[slot] = nodes
+	d.nodeLists[listNumber] = nodes
 	return nil
 }
 
@@ -360,7 +361,7 @@
 		order.PutUint32(record[7:], uint32(len(a.Text)))
 		e.tail = append(e.tail, a.Text...)
 	case headmill.ActSubscribe:
-		record[0], record[3] = actionSubscribe, 1
+		record[0], record[3] = actionSubscribe, 1 // byte 3 is 1 in every subscription
 	case headmill.ActSetRung:
 		if a.Rung < 0 || a.Rung > 255 {
 			return fmt.Errorf("wire: rung %d does not fit in a byte", a.Rung)
