--- a/cmd/headmill/proxy.go
+++ b/cmd/headmill/proxy.go
@@ -65,7 +65,7 @@
 		for range reload {
 			reloaded, err := reloadConfig(c.Config)
 			if err != nil {
-				log.Error("reload of the configuration failed; the old one stays in use", "error", err.Error())
+				log.Error("configuration not read again; the old one stays", "error", err.Error())
 				continue
 			}
 			director.Reload(reloaded)
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -276,7 +276,7 @@
 		return err
 	}
 	d.discovery.connect()
-	d.loop.OnRound(d.stepModules)
+	d.loop.OnIteration(d.stepModules)
 	d.tick()
 	return nil
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -146,8 +146,8 @@
 // programs with few file descriptors.
 func (l *Loop) SetMaxLingering(n int) { l.maxLingering = n }
 
-// OnRound sets the function called at the end of each iteration (round), after its events and timers.
-func (l *Loop) OnRound(f func()) { l.onRound = f }
+// OnIteration sets the function called at the end of each iteration, after its events and timers.
+func (l *Loop) OnIteration(f func()) { l.onRound = f }
 
 // Timer is a scheduled call.
 type Timer struct {
--- a/internal/platform/dns/dns.go
+++ b/internal/platform/dns/dns.go
@@ -113,8 +113,8 @@
 	return entry, err
 }
 
-// AppendQuery returns a query for the full node list.
-func AppendQuery(id uint16, service string) ([]byte, error) {
+// NewQuery returns a query for the full node list.
+func NewQuery(id uint16, service string) ([]byte, error) {
 	name, err := dnsmessage.NewName(service)
 	if err != nil {
 		return nil, fmt.Errorf("dns: service name %q: %w", service, err)
--- a/internal/platform/proxy/discovery.go
+++ b/internal/platform/proxy/discovery.go
@@ -51,7 +51,7 @@
 func (d *discoveryClient) query() {
 	d.queryTimer = d.proxy.loop.After((propagationMs+d.proxy.cfg.DrainGraceMs)/queriesPerWindow, d.query)
 	d.lastQueryID++
-	if query, err := dns.AppendQuery(d.lastQueryID, serviceName); err == nil {
+	if query, err := dns.NewQuery(d.lastQueryID, serviceName); err == nil {
 		d.conn.Send(query)
 	}
 }
--- a/internal/platform/proxy/proxy.go
+++ b/internal/platform/proxy/proxy.go
@@ -236,7 +236,7 @@
 	if err := p.discovery.connect(p.cfg.DNS); err != nil {
 		return err
 	}
-	p.loop.OnRound(p.flush)
+	p.loop.OnIteration(p.flush)
 	p.loop.After(sweepIntervalMs, p.sweep)
 	return nil
 }
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -192,8 +192,8 @@
 	c.current, c.previous = map[string]*Claims{}, nil
 }
 
-// Cached returns the number of cache entries; a token that is in both generations counts twice.
-func (c *Checker) Cached() int { return len(c.current) + len(c.previous) }
+// CacheLen returns the number of cache entries; a token that is in both generations counts twice.
+func (c *Checker) CacheLen() int { return len(c.current) + len(c.previous) }
 
 // Check returns the claims of a raw token that is valid at now. The claims are shared with the cache and must not be
 // modified.
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -114,8 +114,8 @@
 	posted = append(posted, <-callbacks)
 	c.SetKeys(nil)
 	posted[0]()
-	if !errors.Is(got, ErrUnknownKey) || c.Cached() != 0 {
-		t.Errorf("after the key was removed: %v, %d cached", got, c.Cached())
+	if !errors.Is(got, ErrUnknownKey) || c.CacheLen() != 0 {
+		t.Errorf("after the key was removed: %v, %d cached", got, c.CacheLen())
 	}
 	p.Close()
 	noWorkers := &Pool{jobs: make(chan job, 1)} // no worker
@@ -155,8 +155,8 @@
 		if _, err := c.Check(raw, now); err != nil {
 			t.Fatal(err)
 		}
-		if c.Cached() > 8 {
-			t.Fatalf("%d tokens cached", c.Cached())
+		if c.CacheLen() > 8 {
+			t.Fatalf("%d tokens cached", c.CacheLen())
 		}
 	}
 }
