--- a/controller.go
+++ b/controller.go
@@ -9,9 +9,10 @@
 //     (setupAllowed) nor by the circuit breaker (selectable).
 //  3. shadowPrice finds the price of capacity on these nodes, and rungAtPrice the rung whose worth exceeds
 //     the price of its rate by most.
-//  4. pickNode applies the admission test (admits) to the holder of the title's placement token, and moves
-//     the token to the least-loaded holder that passes where that one does not.
-//  5. If no holder passes, freeCapacity lowers own sessions that are worth less per kB than the new one; if
+//  4. pickNode chooses the holder of the title's placement token if it passes the admission test (admits),
+//     and otherwise the least-loaded node with the title that passes. placeSession moves the token to the
+//     node that is chosen, here or in step 5.
+//  5. If no node passes, freeCapacity lowers own sessions that are worth less per kB than the new one; if
 //     that is not enough, steps 4 and 5 repeat with the next lower rung.
 //  6. sendSetup, the only place that emits a set-up, checks setupAllowed once more: drains, deadlines, the
 //     attempt limit, the per-title session cap, class semantics, the retry budget and slow start.
@@ -24,8 +25,8 @@
 // A session is in one of these states:
 //
 //	state     fields               on an event
-//	attempt   node set, !playing   EvAttemptPlaying: playing; EvAttemptEnded: next attempt or final answer;
-//	                               EvViewerLeft: no attempt after this one
+//	attempt   node set, !playing   EvAttemptPlaying: playing; EvAttemptEnded: next attempt or final answer,
+//	                               or removed if SessionOver; EvViewerLeft: no attempt after this one
 //	playing   node set, playing    EvAttemptEnded: removed
 //
 // A node accepts set-ups according to these states:
@@ -710,7 +711,8 @@
 	c.rejectRequest(session)
 }
 
-// pickNode returns the token holder if it admits the session, or else the least-loaded holder that does.
+// pickNode returns the token holder if it passes the admission test, or else the least-loaded of holders, the
+// nodes with the title, that does.
 // The rendezvous weight breaks ties, as among nodes without a measurement.
 func (c *Controller) pickNode(session *sessionState, holders []*nodeState, tokenHolder *nodeState,
 	kb float64) *nodeState {
--- a/controller_test.go
+++ b/controller_test.go
@@ -96,7 +96,7 @@
 	return f.step(Event{Kind: EvAttemptPlaying, Session: id, Node: node})
 }
 
-func TestTokenStaysUntilAdmissionFails(t *testing.T) {
+func TestPlacementTokenStaysUntilAdmissionFails(t *testing.T) {
 	front := startFront(t, testConfig())
 	front.reportLinkLoads(0.1)
 	id, actions := front.request(0, 42)
@@ -107,7 +107,7 @@
 	front.startPlaying(id, first)
 	_, actions = front.request(0, 42)
 	if second, _, _ := findSetup(actions); second != first {
-		t.Fatalf("the second session went to node %d, the token is at node %d", second, first)
+		t.Fatalf("the second session went to node %d, the placement token is at node %d", second, first)
 	}
 	front.now += 10
 	front.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, FeedbackValue: 1.2})
@@ -116,12 +116,13 @@
 	_, actions = front.request(0, 42)
 	successor, _, ok := findSetup(actions)
 	if !ok || successor == first {
-		t.Fatalf("an overloaded holder kept the token (set up: %v, on node %d)", ok, successor)
+		t.Fatalf("an overloaded node kept the placement token (set up: %v, on node %d)", ok, successor)
 	}
 	front.step(Event{Kind: EvFeedback, Node: first, Feedback: FeedbackLinkLoad, FeedbackValue: 0.1})
 	_, actions = front.request(0, 42)
-	if now, _, _ := findSetup(actions); now != successor {
-		t.Fatalf("the token moved from node %d to node %d without a failed admission test", successor, now)
+	if current, _, _ := findSetup(actions); current != successor {
+		t.Fatalf("the placement token moved from node %d to node %d without a failed admission test", successor,
+			current)
 	}
 }
 
@@ -140,7 +141,7 @@
 	}
 }
 
-func TestFullOutcomeMovesTheToken(t *testing.T) {
+func TestFullOutcomeMovesThePlacementToken(t *testing.T) {
 	front := startFront(t, testConfig())
 	front.reportLinkLoads(0.1)
 	id, actions := front.request(1, 7)
@@ -341,7 +342,7 @@
 // A front that refuses everything gets no new measurements; stale high loads must not make it refuse forever.
 func TestStaleHighLoadsDecay(t *testing.T) {
 	cfg := testConfig()
-	cfg.UplinkKB = 2400 // less than the decayed links of a rack ask for together
+	cfg.UplinkKB = 2400 // less than the sum of the decayed load estimates of a rack's links
 	front := startFront(t, cfg)
 	front.reportLinkLoads(1.1)
 	if _, actions := front.request(0, 2); hasAction(actions, ActSetup) {
@@ -362,7 +363,7 @@
 	}
 }
 
-// The first measurement includes sessions that were under way at the start; they are no change since then.
+// The first measurement includes sessions that were playing at the start; their rates must not be added to it again.
 func TestExistingSessionsAreNotCountedTwice(t *testing.T) {
 	front := startFront(t, testConfig())
 	node := testNodes(1)[0].ID
@@ -414,7 +415,8 @@
 	}
 }
 
-func TestReliefLowersEachSessionOnce(t *testing.T) {
+// An overloaded link lowers each of its sessions in one rung change, and none again before a later measurement.
+func TestOverloadLowersEachSessionOnce(t *testing.T) {
 	front := startFront(t, testConfig())
 	node := testNodes(1)[0].ID
 	for i := range 6 {
@@ -431,7 +433,7 @@
 		}
 	}
 	if len(changes) == 0 {
-		t.Fatal("no relief at a link load of 2")
+		t.Fatal("no session was lowered at a link load of 2")
 	}
 	for id, count := range changes {
 		if count > 1 {
@@ -440,7 +442,7 @@
 	}
 	for _, action := range front.step(Event{Kind: EvTimer, TimerID: tickTimerID}) {
 		if action.Kind == ActSetRung {
-			t.Fatal("a second relief before a later measurement")
+			t.Fatal("a session was lowered again before a later measurement")
 		}
 	}
 }
@@ -477,7 +479,7 @@
 	}
 }
 
-// liveSession is what runRandomEvents knows of a request without a final answer.
+// liveSession is what runRandomEvents knows of a request or session that has not ended.
 type liveSession struct {
 	class, title                     int
 	deadline                         float64
@@ -639,7 +641,7 @@
 	return allActions
 }
 
-// One noisy load report must not replace the estimate.
+// Load reports are noisy: one of them must not replace the estimate.
 func TestLoadReportIsWeighted(t *testing.T) {
 	front := startFront(t, testConfig())
 	node := testNodes(1)[0].ID
@@ -648,11 +650,11 @@
 	front.step(Event{Kind: EvAttemptEnded, Session: 77, Node: node, Outcome: OutcomeServed, SessionOver: true,
 		LoadReport: LoadReport{Present: true, Streams: -1, LinkLoad: 1.2, UplinkLoad: -1}})
 	if got := front.controller.linkLoad(front.controller.nodesByID[node]); got < 0.6 || got > 1.0 {
-		t.Fatalf("feedback 0.4 and load report 1.2: estimate %.2f", got)
+		t.Fatalf("measured 0.4, load report 1.2: estimate %.2f, want 0.6 to 1.0", got)
 	}
 }
 
-// Two nodes with equal shortfalls behind an uplink without measurements point to the uplink, not to their links.
+// Nodes with equal shortfalls behind an uplink without measurements point to the uplink, not to their links.
 func TestUplinkCapacityIsInferredFromRateShares(t *testing.T) {
 	front := startFront(t, testConfig())
 	front.reportLinkLoads(0.5)
@@ -860,6 +862,57 @@
 		front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: OutcomeServed, SessionOver: true})
 	}
 	if count := len(front.controller.placementTokens); count == 0 || count > maxPlacementTokens {
-		t.Fatalf("%d tokens are kept, at most %d are allowed", count, maxPlacementTokens)
+		t.Fatalf("%d placement tokens are kept, at most %d are allowed", count, maxPlacementTokens)
+	}
+}
+
+// Where rung 1 has the most worth per kB, a request that fits only at the lowest rung is refused.
+func TestNoSetupBelowTheEfficientRung(t *testing.T) {
+	cfg := testConfig()
+	cfg.RungWorth = []float64{0.2, 0.6, 1}
+	front := startFront(t, cfg)
+	front.reportLinkLoads(setupLoadLimit - 0.06) // 60 of 1000 kB/s are free: enough for rung 0 (50), not for 1 (100)
+	if _, actions := front.request(0, 2); hasAction(actions, ActSetup) {
+		t.Fatal("set up at the lowest rung, which is worth less per kB")
+	}
+	front.reportLinkLoads(0.4)
+	if _, actions := front.request(0, 2); !hasAction(actions, ActSetup) {
+		t.Fatal("refused where there is free capacity")
+	}
+}
+
+// Relief lowers no session below the rung with the most worth per kB until the load exceeds deepReliefThreshold.
+func TestReliefStopsAtTheEfficientRungUntilDeepOverload(t *testing.T) {
+	for _, load := range []float64{1.05, 1.9} {
+		cfg := testConfig()
+		cfg.RungWorth = []float64{0.2, 0.6, 1}
+		front := startFront(t, cfg)
+		node := testNodes(1)[0].ID
+		var events []Event
+		for i := range SessionID(10) {
+			events = append(events,
+				Event{Kind: EvExistingSession, Session: 500 + i, Node: node, Title: 1, Copies: 3, MaxRung: 2},
+				Event{Kind: EvFeedback, Session: 500 + i, Node: node, Feedback: FeedbackRung, FeedbackValue: 1})
+		}
+		front.step(events...)
+		front.now += 6000
+		front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, FeedbackValue: load})
+		front.now += 250
+		lowered := hasAction(front.step(Event{Kind: EvTimer, TimerID: tickTimerID}), ActSetRung)
+		if want := load > deepReliefThreshold; lowered != want {
+			t.Fatalf("at load %v lowered is %v, want %v", load, lowered, want)
+		}
+	}
+}
+
+// The first load report of a node is all that is known of it; it must not be averaged with an assumption.
+func TestFirstLoadReportCountsInFull(t *testing.T) {
+	front := startFront(t, testConfig())
+	id, actions := front.request(0, 3)
+	node, _, _ := findSetup(actions)
+	front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: OutcomeFull, SessionOver: true,
+		LoadReport: LoadReport{Present: true, Streams: -1, LinkLoad: 1.2, UplinkLoad: -1}})
+	if load := front.controller.linkLoad(front.controller.nodesByID[node]); load < 1.1 {
+		t.Fatalf("link load estimate %v after a first report of 1.2", load)
 	}
 }
--- a/decide/discovery/discovery_test.go
+++ b/decide/discovery/discovery_test.go
@@ -76,10 +76,10 @@
 		t.Fatalf("start moved from %v to %v", first.StartedAtMs, again.StartedAtMs)
 	}
 	if restarted := apply(3000, 10, "y", 3); restarted.StartedAtMs != 2990 {
-		t.Fatalf("a restart is not detected: %v", restarted.StartedAtMs)
+		t.Fatalf("after a restart the start time is %v, want 2990", restarted.StartedAtMs)
 	}
 	if old := apply(3000, 99999, "z", 4); !(old.StartedAtMs > 0) {
-		t.Fatalf("a start before this director's own looks like long ago: %v", old.StartedAtMs)
+		t.Fatalf("a start before this director's own is %v, want one above 0 (0 stands for long ago)", old.StartedAtMs)
 	}
 }
 
@@ -104,7 +104,7 @@
 		}
 	}
 	if l.Len() != 1 || l.Version() != 1 {
-		t.Fatalf("the old list is gone: %d media nodes, version %d", l.Len(), l.Version())
+		t.Fatalf("the old list was not kept: %d media nodes, version %d", l.Len(), l.Version())
 	}
 }
 
@@ -143,7 +143,7 @@
 			t.Errorf("%s started at %v, want %v", l.Name(node.ID), node.StartedAtMs, want)
 		}
 	}
-	// a is gone, c has its address, b has restarted
+	// Node a was removed, c has its address, b has restarted.
 	got := apply(2, named("c", "127.0.0.1:1", "ready", 4000), named("b", "127.0.0.1:2", "ready", 4500))
 	if l.Listed(a) || l.Ready(a) || l.Addr(NodeIDFromName("c")) != "127.0.0.1:1" || len(got) != 2 {
 		t.Fatalf("%+v", got)
--- a/decide/health/health.go
+++ b/decide/health/health.go
@@ -35,6 +35,7 @@
 //	                down: opens the stream if a set-up is pending (to opening)
 //	                idle, down: forgets a media node that has been unused for 10 IdleTimeoutMs
 //
+// A set-up is pending from SetupSent on; SessionStarted makes it a session, and SessionEnded removes it in either case.
 // A media node is unused while it has neither sessions nor pending set-ups.
 package health
 
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -113,6 +113,6 @@
 	}
 	m.Step(6000, []Event{tick}, nil)
 	if len(m.nodes) != 0 || len(m.sortedNodes) != 0 {
-		t.Fatalf("%d media nodes are kept for ever", len(m.nodes))
+		t.Fatalf("%d unused media nodes are never forgotten", len(m.nodes))
 	}
 }
--- a/decide/idempotency/ledger_test.go
+++ b/decide/idempotency/ledger_test.go
@@ -217,7 +217,8 @@
 	}
 	l = New(Config{MaxEntries: 9, MaxWaiters: 3, StartedAtMs: 1000, ClockSkewMs: 50})
 	old := request(1, 1, true)
-	old.TokenAgeMs = 960 // at 2000 the director has run for 1000 ms; with the clock skew the token may be older
+	// At 2000 the director has run for 1000 ms; with the clock skew the token may be older than that run.
+	old.TokenAgeMs = 960
 	unpaid := request(3, 3, false)
 	unpaid.Key, unpaid.TokenAgeMs = "unpaid", 5000
 	young := request(4, 4, true)
@@ -262,6 +263,7 @@
 		outcomeUnknown := map[SessionID]string{} // keys of set-ups that failed without proof
 		playing := map[SessionID]string{}        // keys of sessions at a media node
 		activeSessions := map[string]int{}       // by key: set-ups in progress and sessions that play
+		// Keys that begin with p are of paid classes (at most one set-up may run), those with f of others.
 		isPaid := func(key string) bool { return key[0] == 'p' }
 		do := func(ev Event) {
 			predicted := ev.Kind == RequestArrived && l.WouldStartSetup(now, &ev)
--- a/decide/limits/limits.go
+++ b/decide/limits/limits.go
@@ -118,7 +118,7 @@
 
 // The kinds of events.
 const (
-	Request          EventKind = iota // ID, RequestKey, Tenant, Title, Class, FirstCell, Copies, MaxRung: a viewer asks
+	Request          EventKind = iota // ID, RequestKey, Tenant, Title, Class, FirstCell, Copies, MaxRung: new or a retry
 	SetupStarted                      // ID, Tenant, Class, FirstCell, Copies, MaxRung: session ID is being set up
 	SessionStarted                    // ID, RequestKey, Tenant, Title, FirstCell: session ID plays in cell FirstCell
 	SessionEnded                      // ID: the session holds nothing any more
@@ -393,7 +393,7 @@
 }
 
 // refreshScarceTitles removes the titles that are no longer scarce, and forgets the demand for titles that nobody has
-// asked for during 10 rate time constants, when less than a ten-thousandth of it is left.
+// requested during 10 rate time constants, when less than a ten-thousandth of it is left.
 func (a *Admission) refreshScarceTitles() {
 	a.scarcePlacements, a.scarceNewRequests = 0, 0
 	kept := a.scarceTitles[:0]
@@ -440,7 +440,7 @@
 	if a.shouldShed(ev.Class, retried) {
 		return a.refuse(ev, DirectorOverloaded, retried)
 	}
-	usage := t.titleUsage(ev.Title, a.now)
+	usage := t.usageOf(ev.Title, a.now)
 	scarce := a.now < d.scarceUntil
 	if scarce && t.exceedsTitleShare(usage, a.now) {
 		d.scarceUntil = a.now + scarceHoldMs
--- a/decide/limits/limits_test.go
+++ b/decide/limits/limits_test.go
@@ -32,8 +32,8 @@
 }
 
 // streamPool simulates admission control in front of a pool of streams, each held until its session ends. It tests the
-// bookkeeping of Admission only; the benefit of admission control is measured over sockets, which no model of this
-// kind comes near (see docs/design/limits.md).
+// bookkeeping of Admission only; the benefit of admission control is measured with viewers over WebSocket connections,
+// whose behavior this model does not reproduce (see docs/design/limits.md).
 type streamPool struct {
 	admission          *Admission
 	now, streams, used float64
@@ -110,7 +110,7 @@
 	for i := range 2000 { // 50 a second, all of the tenant with the small share, all of one title
 		p.wait(20)
 		if ok, _ := p.request(1, uint64(i), 7); !ok {
-			t.Fatalf("request %d refused with half of the capacity free: %v", i, p.refusals)
+			t.Fatalf("request %d was refused with half of the capacity free; refusals by reason: %v", i, p.refusals)
 		}
 	}
 	if p.admission.Weight() != 100 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// A tenant within its share loses next to nothing while the other one floods with retries, and the flooding tenant
-// still gets its own share.
+// Next to no request of a tenant within its share is refused while the other one floods with retries, and the flooding
+// tenant still gets its own share.
 func TestTenantWithinItsShareIsProtected(t *testing.T) {
 	for _, flood := range []float64{100, 400, 1000} {
 		p := newStreamPool(testConfig(), 40, 1000)
@@ -138,8 +138,8 @@
 				}
 			}
 			for k := range int(flood / 100) {
-				p.request(1, 1e6+uint64(i*10+k), 3) // new viewers all the time
-				p.request(1, 1e6+uint64(i%50), 3)   // and fifty that ask again and again
+				p.request(1, 1e6+uint64(i*10+k), 3) // new requests of ever new viewers
+				p.request(1, 1e6+uint64(i%50), 3)   // and retries of fifty viewers
 			}
 		}
 		if refused := 1 - float64(placed)/float64(requested); refused > 0.02 {
@@ -157,7 +157,7 @@
 	p := newStreamPool(testConfig(), 40, 1000)
 	key := uint64(0)
 	request := func(tenant int) bool { key++; ok, _ := p.request(tenant, key, key%7); return ok }
-	for i := range 2000 { // 20 s: b alone wants 60 a second
+	for i := range 2000 { // 20 s: b alone requests 60 a second
 		p.wait(10)
 		if i%5 != 0 {
 			request(1)
@@ -168,7 +168,7 @@
 		t.Fatalf("b alone gets %d of %d", alone, 20*40)
 	}
 	placed := make([]int, 5)
-	for second := range 5 { // now a wants its 28 a second too
+	for second := range 5 { // now a requests its 28 a second too
 		for i := range 100 {
 			p.wait(10)
 			if i%25 < 7 && request(0) {
@@ -178,12 +178,13 @@
 		}
 	}
 	if placed[0] < 22 || placed[1] < 24 || placed[2] < 27 {
-		t.Errorf("a wants 28 a second and has, second by second, %v", placed)
+		t.Errorf("a requests 28 a second; placed in each second: %v", placed)
 	}
 }
 
-// Two tenants that ask for ten times the capacity, in proportion to their shares, are left to the decision module.
-func TestRushOfAllTenantsIsLeftToTheModule(t *testing.T) {
+// Two tenants whose requests are ten times the capacity, in proportion to their shares, are left to the decision
+// module: admission control refuses none for the tenants' shares.
+func TestRushOfAllTenantsIsLeftToTheDecisionModule(t *testing.T) {
 	p := newStreamPool(testConfig(), 40, 1000)
 	for i := range 2000 {
 		p.wait(10)
@@ -223,15 +224,15 @@
 		}
 	}
 	if duringFlood[0] > 0 || duringFlood[1] == 0 {
-		t.Errorf("in the flood, by rung: %v", duringFlood)
+		t.Errorf("admitted during the flood, by rung: %v, want none at rung 0 and some at 1", duringFlood)
 	}
 	if len(after) != 1 || after[3] == 0 {
-		t.Errorf("long after it, by rung: %v", after)
+		t.Errorf("admitted long after the flood, by rung: %v, want all at rung 3", after)
 	}
 }
 
 // The capacity of a cell is what links, uplinks and streams give it, divided among the directors. Media nodes that
-// leave take theirs along.
+// drain or are removed no longer count.
 func TestCapacityEstimator(t *testing.T) {
 	e := CapacityEstimator{Config: headmill.Config{Cells: 2, Racks: 1, Fronts: 2, StreamsByKind: []int{50}, TotalLinkKB: 4000,
 		UplinkKB: 2000}}
@@ -245,10 +246,10 @@
 	}
 	two[1].Health = headmill.HealthDraining
 	if r := e.Estimate(two); math.Abs(r[0].RateKB-2000*headmill.MaxSetupLoad/2) > 1e-9 || r[1] != (Capacity{}) {
-		t.Errorf("one drains: %+v", r)
+		t.Errorf("one node drains: %+v", r)
 	}
 	if r := e.Estimate(two[:1]); math.Abs(r[0].RateKB-2000*headmill.MaxSetupLoad/2) > 1e-9 {
-		t.Errorf("one is gone: %+v", r)
+		t.Errorf("one node was removed: %+v", r)
 	}
 	e = CapacityEstimator{Config: headmill.Config{Cells: 1, WeightsKnown: true, LinkKBPerWeight: 100}}
 	if r := e.Estimate([]headmill.Node{{Weight: 3}}); math.Abs(r[0].RateKB-300*headmill.MaxSetupLoad) > 1e-9 ||
@@ -257,7 +258,8 @@
 	}
 }
 
-// A tenant that asked once, long ago, and holds nothing does not limit the others: they are left to the decision module.
+// A tenant that sent one request, long ago, and holds nothing does not limit the others: they are left to the decision
+// module.
 func TestAbsentTenantDoesNotLimitOthers(t *testing.T) {
 	p := newStreamPool(testConfig(), 40, 1000)
 	p.request(0, 1, 1)
@@ -273,12 +275,12 @@
 	}
 }
 
-// A title that asks for everything does not starve the other titles of its tenant.
+// A title whose requests exceed the whole capacity does not starve the other titles of its tenant.
 func TestTitlesOfATenant(t *testing.T) {
 	p := newStreamPool(testConfig(), 20, 1000)
 	placed := map[uint64]int{}
 	key := uint64(0)
-	for i := range 3000 { // 30 s: title 1 wants 100 a second, title 2 and 3 want 5 each
+	for i := range 3000 { // 30 s: 100 requests a second for title 1, 5 each for titles 2 and 3
 		p.wait(10)
 		request := func(title uint64) {
 			key++
@@ -294,13 +296,14 @@
 	}
 	for _, title := range []uint64{2, 3} {
 		if want := 25 * 5; placed[title] < want*8/10 {
-			t.Errorf("title %d: %d of %d placed beside a title that wants all (%v)", title, placed[title], want, placed)
+			t.Errorf("title %d: %d of %d placed beside a title with excess demand (%v)", title, placed[title], want,
+				placed)
 		}
 	}
 }
 
-// New requests go before retries while not all fit: 16 new requests a second in bursts find capacity for 20, though
-// hundreds of viewers that were refused in a rush retry all the time.
+// New requests are placed before retries while not all fit: 16 new requests a second in bursts are placed with a
+// capacity for 20, though hundreds of viewers that were refused in a rush retry all the time.
 func TestNewRequestsGoBeforeRetries(t *testing.T) {
 	p := newStreamPool(Config{MaxRetryAfterMs: 1000, RetryMemoryMs: 1e5, MaxRefusals: 10000, PropagationMs: 200,
 		OthersShare: 1}, 20, 1000)
@@ -385,7 +388,8 @@
 	}
 	with, without := run(false), run(true)
 	if with >= 300 || with*2 > without {
-		t.Errorf("the wave of retries is %d a second after a rush of 300; with advice of one length it is %d", with, without)
+		t.Errorf("the wave of retries is %d a second after a rush of 300; with the same advice for all it is %d", with,
+			without)
 	}
 }
 
@@ -393,13 +397,13 @@
 	cfg := testConfig()
 	for name, c := range map[string]struct {
 		ev   Event
-		want []bool // shed: free retry, free new request, paid retry, paid new request
+		want []bool // shed: retry and new request of class 1 (least worth), then of class 0
 	}{
-		"calm":          {Event{LagMs: 70, Queue: 700}, []bool{false, false, false, false}},
-		"lag":           {Event{LagMs: 85}, []bool{true, false, false, false}},
-		"queue":         {Event{Queue: 1000}, []bool{true, true, false, false}},
-		"memory":        {Event{MemoryBytes: 1.2e9}, []bool{true, true, true, false}},
-		"beyond it all": {Event{LagMs: 300}, []bool{true, true, true, true}},
+		"below shedStartLoad": {Event{LagMs: 70, Queue: 700}, []bool{false, false, false, false}},
+		"lag":                 {Event{LagMs: 85}, []bool{true, false, false, false}},
+		"queue":               {Event{Queue: 1000}, []bool{true, true, false, false}},
+		"memory":              {Event{MemoryBytes: 1.2e9}, []bool{true, true, true, false}},
+		"above shedAllLoad":   {Event{LagMs: 300}, []bool{true, true, true, true}},
 	} {
 		a := New(cfg, 1)
 		c.ev.Kind = LoadMeasured
@@ -430,7 +434,7 @@
 		a.Step(250*float64(i+2), []Event{{Kind: LoadMeasured}}, nil)
 	}
 	if a.Weight() != 100 {
-		t.Errorf("weight %d long after", a.Weight())
+		t.Errorf("weight %d long after the overload, want 100", a.Weight())
 	}
 }
 
@@ -443,7 +447,7 @@
 		p.request(0, uint64(i), 1)
 	}
 	if len(p.refusals) != 1 || p.refusals[NoCapacity] == 0 {
-		t.Errorf("with AdmitAll it refuses %v", p.refusals)
+		t.Errorf("refusals with AdmitAll: %v, want NoCapacity only", p.refusals)
 	}
 }
 
@@ -452,7 +456,7 @@
 	a.SetTenants([]Tenant{{Name: "b", Share: 1}, {Name: "c", Share: 1}, {Name: "rest"}})
 	for name, want := range map[string]int{"b": 0, "c": 1, "a": 2, "": 2} {
 		if got := a.TenantIndex(name); got != want {
-			t.Errorf("%q is tenant %d, want %d", name, got, want)
+			t.Errorf("%q has tenant index %d, want %d", name, got, want)
 		}
 	}
 	if a.tenants[0].normalizedShare != 0.5 || a.tenants[2].normalizedShare != 0 {
@@ -465,7 +469,7 @@
 	}
 }
 
-// For all sequences of events: shares add up to 1, what is booked is what sessions hold, no tenant exceeds its
+// For all sequences of events: shares add up to 1, what is counted is what sessions hold, no tenant exceeds its
 // MaxShare, rungs, headroom, retry advice and tables stay within their bounds, and every request gets one decision.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/decide/limits/quotas.go
+++ b/decide/limits/quotas.go
@@ -10,9 +10,9 @@
 	Ledger                         // entries of the idempotency ledger: a new token is refused
 	Reports                        // bytes of players' reports: the report is dropped
 	OutputBuffers                  // bytes that wait to be sent to viewers: the connection that wants more is closed
-	Timelines                      // bytes of decide/quality's timelines: ended ones are removed early, new ones not kept
-	SocketSessions                 // sessions held over WebSocket connections: the message is refused
-	PendingSetups                  // bytes of set-ups that wait for their answer: a new one is refused
+	Timelines                      // bytes of decide/quality's timelines: ended ones are dropped, then new ones not kept
+	SocketSessions                 // attachments of sessions to WebSocket connections: the message is refused
+	PendingSetups                  // bytes of session descriptions of unanswered set-ups: a new one is refused
 	resourceCount                  // number of resources
 )
 
@@ -34,7 +34,7 @@
 type Usage struct {
 	Used, Limit int64  // Limit 0: no limit
 	Peak        int64  // the highest Used ever
-	Denied      uint64 // how often the limit was reached
+	Denied      uint64 // how often Acquire or Fits returned false
 }
 
 // Quotas counts the usage of resources against limits.
@@ -43,7 +43,7 @@
 // SetLimit changes a limit. One below the present usage takes nothing away: nothing new is granted until it fits.
 func (q *Quotas) SetLimit(r Resource, limit int64) { q.usage[r].Limit = max(limit, 0) }
 
-// Acquire adds n to the usage, or counts a denial where the limit would be exceeded.
+// Acquire adds n to the usage, or counts a denial where the limit would be exceeded or n is negative.
 func (q *Quotas) Acquire(r Resource, n int64) bool {
 	u := &q.usage[r]
 	if n < 0 || u.Limit > 0 && u.Used+n > u.Limit {
--- a/decide/limits/retry.go
+++ b/decide/limits/retry.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// retrySchedule spreads the retries of refused viewers over time, so that the wave of retries is as flat as the
-// capacity allows. It is a ring of slots with the number of retries that are expected in each.
+// retrySchedule spreads the retries of refused viewers over time, so that as few slots as possible
+// have more retries than capacity. It is a ring of slots with the number of retries that are expected in each.
 type retrySchedule struct {
 	slots     []float64
 	firstSlot int64 // number of the first slot, which is at index firstSlot % len(slots)
@@ -34,8 +34,8 @@
 
 // reserve finds the earliest slot between minMs and maxMs from now that has capacity for another retry, else the
 // emptiest of the later two thirds, and returns the delay to a random time in it, so that the retries of a slot don't
-// come at one moment. If no slot has capacity, an early retry would only be refused again, as happened in a rush of
-// requests over sockets.
+// come at one moment. The first third is left out because, without capacity, an early retry would only be refused
+// again; this was seen when many viewers requested sessions at once over WebSocket connections.
 func (s *retrySchedule) reserve(now, minMs, maxMs, slotCapacity float64, rng *rand.Rand) float64 {
 	maxMs = math.Min(math.Max(maxMs, 0), float64(scheduleSlots-2)*slotMs)
 	minMs = math.Min(math.Max(minMs, 0), maxMs)
@@ -80,13 +80,13 @@
 	r.recent[key] = now
 }
 
-// contains tells whether a request was refused within the last memoryMs.
-func (r *refusedRequests) contains(key uint64, now, memoryMs float64) bool {
+// contains tells whether a request was refused within the last withinMs.
+func (r *refusedRequests) contains(key uint64, now, withinMs float64) bool {
 	refusedAt, ok := r.recent[key]
 	if !ok {
 		refusedAt, ok = r.older[key]
 	}
-	return ok && now-refusedAt <= memoryMs
+	return ok && now-refusedAt <= withinMs
 }
 
 func (r *refusedRequests) remove(key uint64) {
--- a/decide/limits/tenants.go
+++ b/decide/limits/tenants.go
@@ -16,7 +16,7 @@
 	lastSweepAt     float64 // when titles was last cleared of unused ones
 }
 
-// titleUsage counts the recently admitted sessions of a tenant's title, and whether it wanted more.
+// titleUsage holds the recently admitted sessions of a tenant's title, and when a request for it was last refused.
 type titleUsage struct {
 	admitted, decayedAt float64 // sessions, decayed over titleTimeConstantMs up to decayedAt
 	lastRefusedAt       float64 // 0: never
@@ -33,8 +33,9 @@
 	t.newRequests, t.rateRefusals = 0, 0
 }
 
-// titleUsage finds the usage of a title, decayed up to now, and forgets titles that were not asked for lately.
-func (t *tenantState) titleUsage(title uint64, now float64) *titleUsage {
+// usageOf returns the usage of a title, decayed up to now, and creates it if needed. It also forgets titles that were
+// not requested during four time constants, after which 2% of a count is left.
+func (t *tenantState) usageOf(title uint64, now float64) *titleUsage {
 	if now-t.lastSweepAt > titleTimeConstantMs {
 		t.lastSweepAt = now
 		for id, usage := range t.titles {
@@ -53,15 +54,16 @@
 	return usage
 }
 
-// recordRefusal notes that a new request for a title was refused.
+// recordRefusal records that a new request for a title was refused.
 func (t *tenantState) recordRefusal(title uint64, now float64) {
-	t.titleUsage(title, now).lastRefusedAt = now
+	t.usageOf(title, now).lastRefusedAt = now
 }
 
-// exceedsTitleShare tells whether a title has more than its equal part of the tenant's admitted sessions, while
-// another title with fewer was refused lately.
+// exceedsTitleShare tells whether a title has more than its equal part of the tenant's admitted sessions, by more than
+// titleShareSlack, while another title with fewer was refused lately. The equal part is the mean of the titles in use:
+// those with more than half a session, as decayed, and those refused lately.
 func (t *tenantState) exceedsTitleShare(usage *titleUsage, now float64) bool {
-	sum, n, otherWaits := 0.0, 0, false
+	sum, n, otherRefused := 0.0, 0, false
 	for _, other := range t.titles {
 		admitted := other.admitted * math.Exp(-(now-other.decayedAt)/titleTimeConstantMs)
 		refusedLately := other.lastRefusedAt > 0 && now-other.lastRefusedAt < titleTimeConstantMs
@@ -69,7 +71,7 @@
 			sum += admitted
 			n++
 		}
-		otherWaits = otherWaits || other != usage && refusedLately && admitted < usage.admitted
+		otherRefused = otherRefused || other != usage && refusedLately && admitted < usage.admitted
 	}
-	return otherWaits && n > 1 && usage.admitted > sum/float64(n)+titleShareSlack
+	return otherRefused && n > 1 && usage.admitted > sum/float64(n)+titleShareSlack
 }
--- a/decide/quality/loss.go
+++ b/decide/quality/loss.go
@@ -8,13 +8,13 @@
 // FindingInterval is a finding as the history keeps it: a group and the time during which the finding was active.
 type FindingInterval struct {
 	Dim, Name string
-	From, To  float64
+	From, To  float64 // on the same scale as the losses' windows
 }
 
 // GroupLoss is the quality that one group lost in one window.
 type GroupLoss struct {
 	Dim, Name   string
-	From, To    float64
+	From, To    float64 // the window, on the caller's scale
 	QualityLost float64
 }
 
@@ -24,8 +24,10 @@
 	QualityLost float64
 }
 
-// attributionOrder is the order in which dimensions claim a window's loss, the widest first: what a rack loses is also
-// lost by its media nodes and titles, and counts for the rack.
+// attributionOrder is the order in which dimensions claim a window's loss, by their external names. What one group
+// loses is also lost by every group that shares its sessions, and counts for the first of them: for places (a rack,
+// then its media nodes) before titles, and for a title before its class, tenant and the players' families, which span
+// many titles.
 var attributionOrder = []string{"rack", "box", "title", "class", "brand", "family"}
 
 // AttributeLoss divides the quality lost among the findings. Each finding gets what its group lost in the windows that
--- a/decide/quality/merge.go
+++ b/decide/quality/merge.go
@@ -8,21 +8,21 @@
 // DirectorFinding is a finding as one director reports it.
 type DirectorFinding struct {
 	Director, Dim, Name string
-	SinceMs, Load       float64 // time since it was first detected; rate needed over rate received
-	Sessions, Short     int64
+	SinceMs, Load       float64 // age: the time since it was first detected; rate needed over rate received
+	Sessions, Short     int64   // in the group; those of them that are short of rate
 }
 
 // MergedFinding adds up what several directors report of one group.
 type MergedFinding struct {
 	Dim, Name       string
 	Directors       []string // those that report it, sorted, each once
-	SinceMs, Load   float64  // the longest SinceMs; the mean Load, weighted by each director's short sessions
+	SinceMs, Load   float64  // the longest SinceMs; the mean Load, weighted by each director's Short
 	Sessions, Short int64
 }
 
 // MergeFindings adds up the findings of several directors: one finding per group, with the sessions of all directors
 // that report it. Of a director that reports a group twice, the last report counts. The result is sorted by
-// dimension in the order of attributionOrder, then by the number of short sessions, most first.
+// dimension in the order of attributionOrder, then by the number of sessions that are short of rate, most first.
 func MergeFindings(list []DirectorFinding) []MergedFinding {
 	type sourceKey struct{ director, dim, name string }
 	last := map[sourceKey]DirectorFinding{}
--- a/decide/quality/quality.go
+++ b/decide/quality/quality.go
@@ -170,7 +170,7 @@
 	hasClockOffset                     bool     // clockOffsetMs is set
 	recentReports                      []uint64 // ring of the dedup keys of counted reports
 	nextRecent                         int      // index in recentReports that is overwritten next
-	lastReportAt                       float64  // event time of the last report
+	lastReportAt                       float64  // event time of the last report; before one, of the session's start
 	lastRung                           int      // rung played at the last report; -1: none yet
 	lastRequiredKB                     float64  // RequiredKB of the last report
 	lastShare                          float64  // share of the required rate that it received, at lastShareAt
--- a/decide/quality/quality_test.go
+++ b/decide/quality/quality_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// The timeline of a session taken over from a failed director begins at the takeover: reports of the time before
-// are not placed.
+// The timeline of a session that already played when the director adopted it begins at the adoption: reports of the
+// time before are not placed.
 func TestAdoptedTimeline(t *testing.T) {
 	tracker := New(testConfig())
 	tracker.Step(50000, []Event{{Kind: SessionAdopted, Session: 1, At: 50000, Place: testPlace(2, 3)}})
@@ -382,7 +382,7 @@
 	tracker.Step(3000, []Event{{Kind: ReportReceived, Session: 1,
 		Report: PlayerReport{At: 3000, ArrivedAt: 3000, Sequence: 2, ReceivedKB: 50, StallMs: 100, Rung: 2}}})
 	group := tracker.openWindows[0].Groups[GroupKey{ByRack, 1}]
-	// The first report scores 1, the second 0.8 less 0.2 for the switch and 0.3 for the stall.
+	// The first report has a quality of 1, the second 0.8 less 0.2 for the switch and 0.3 for the stall.
 	if math.Abs(group.QualitySum-1.3) > 1e-9 || group.Switches != 1 || group.StalledReports != 1 || group.StallMs != 100 ||
 		math.Abs(group.QualityLost-0.7) > 1e-9 {
 		t.Errorf("%+v", group)
--- a/decide/quality/window.go
+++ b/decide/quality/window.go
@@ -20,10 +20,10 @@
 	StallMs        float64
 	StalledReports int64   // reports with a stall
 	QualitySum     float64 // sum of the reports' quality
-	QualityLost    float64 // sum of the quality missing from that of the granted rung, and of the start-up cost
+	QualityLost    float64 // sum of (quality of the granted rung - quality of the report), plus start-up costs
 	Switches       int64   // changes of the rung played
 	startupSketch  *ddsketch.DDSketch
-	shareSketch    *ddsketch.DDSketch
+	shareSketch    *ddsketch.DDSketch // of the rate received over the rate needed, which can exceed 1
 }
 
 // Window aggregates the reports of an interval of event time, in total and by group.
@@ -31,7 +31,7 @@
 	StartAt          float64
 	Total            Group
 	Groups           map[GroupKey]*Group
-	UngroupedReports int64 // times that a report or start-up was left out of a group, beyond Config.MaxGroups
+	UngroupedReports int64 // times that a group left out a report or start-up beyond Config.MaxGroups
 }
 
 func newWindow(from float64) *Window { return &Window{StartAt: from, Groups: map[GroupKey]*Group{}} }
@@ -147,21 +147,21 @@
 	})
 }
 
-// recordReport counts one report in the groups of its place. Its quality follows the linear model: the quality of the
-// rung played, less the costs of a change of rung and of stalls. The quality lost is what is missing from that of
-// the granted rung.
+// recordReport counts one report in the groups of its place, and updates the session's last rung, share and times, on
+// which findings rest. The report's quality follows the linear model that Config cites: the quality of the rung played,
+// less the costs of a change of rung and of stalls. The quality lost is that of the granted rung less the report's.
 func (w *Window) recordReport(t *Tracker, s *session, span *timelineSpan, report *PlayerReport, at float64) {
 	rung := span.Rung
 	if report.Rung >= 0 {
 		rung = report.Rung
 	}
 	rungQuality := t.rungQuality(rung)
-	score := rungQuality
+	reportQuality := rungQuality
 	switched := s.lastRung >= 0 && s.lastRung != rung && at >= s.lastReportAt
 	if switched {
-		score -= t.config.SwitchCost * math.Abs(rungQuality-t.rungQuality(s.lastRung))
+		reportQuality -= t.config.SwitchCost * math.Abs(rungQuality-t.rungQuality(s.lastRung))
 	}
-	score -= t.config.StallCost * report.StallMs / 1000
+	reportQuality -= t.config.StallCost * report.StallMs / 1000
 	share := math.NaN()
 	if required := requiredRateKB(s, span, report); report.ReceivedKB >= 0 && required > 0 {
 		share = report.ReceivedKB / required
@@ -171,16 +171,16 @@
 		stalled := report.StallMs > 0 || report.BufferEmpty
 		if !math.IsNaN(share) || stalled {
 			s.lastShare, s.lastShareAt = share, at
-			// A session that stalls is short of rate, whatever rate it measured: its share is set just under the bound.
+			// A session that stalls is short of rate, whatever rate it measured: its share is set below the limit.
 			if stalled && !(share < t.config.ShortfallBelow) {
 				s.lastShare = t.config.ShortfallBelow * 0.99
 			}
 		}
 	}
-	lost := math.Max(t.rungQuality(span.Rung)-score, 0)
+	lost := math.Max(t.rungQuality(span.Rung)-reportQuality, 0)
 	w.forEachGroup(t, s, span, func(g *Group) {
 		g.Reports++
-		g.QualitySum += score
+		g.QualitySum += reportQuality
 		g.QualityLost += lost
 		g.StallMs += report.StallMs
 		if report.StallMs > 0 || report.BufferEmpty {
@@ -195,9 +195,9 @@
 	})
 }
 
-// requiredRateKB is the rate in kB/s that a session needs: the granted rate, or the requested one where the
-// player requested less. The received rate was measured on the previous media object, so after a rise of the rung
-// the smaller of the last two requests counts; otherwise every rise would look like an overload.
+// requiredRateKB is the rate in kB/s that a session needs: the granted rate, or the requested one (RequiredKB of a
+// report) where the player requested less. The received rate was measured on the previous media object, so after a rise
+// of the rung the smaller of the last two requested rates counts; otherwise every rise would look like an overload.
 func requiredRateKB(s *session, span *timelineSpan, report *PlayerReport) float64 {
 	required := span.RateKB
 	for _, requested := range []float64{report.RequiredKB, s.lastRequiredKB} {
--- a/size_test.go
+++ b/many_fronts_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Tests of what many fronts do together, where each one knows only its own sessions and some measurements.
+// This file tests large fleets and what many fronts do together, where each one knows only its own sessions and some
+// measurements.
 
 // largeNodes returns nodes for largeConfig, one in each cell.
 func largeNodes(count int) []Node {
@@ -52,8 +53,8 @@
 	}
 }
 
-// A title's token starts in the front's own zone, on the same holder for all fronts of the zone.
-func TestTokensStartInTheFrontsOwnZone(t *testing.T) {
+// A title's placement token starts in the front's own zone, on the same node for all fronts of the zone.
+func TestPlacementTokensStartInTheFrontsOwnZone(t *testing.T) {
 	for zone := range 3 {
 		initialNodes := map[uint64]NodeID{}
 		for self := range 2 {
@@ -75,7 +76,8 @@
 	}
 }
 
-// After measurements of many full nodes, a front takes the nodes without a measurement to be full too.
+// A front assumes the mean measured load for nodes without a measurement: after measurements of many full nodes it
+// takes the others to be full too.
 func TestNodesWithoutMeasurementsCountAsTheMean(t *testing.T) {
 	front := newFront(t, largeConfig(300, 60), 1, largeNodes(60))
 	request := Event{Kind: EvRequest, Session: 1, Title: 5, TimeLeftMs: 3000, FirstCell: 50, Copies: 3, MaxRung: 2}
@@ -84,7 +86,7 @@
 			FeedbackValue: 1.1}}, nil)
 	}
 	if _, _, ok := findSetup(front.Step(1e6+400, []Event{request}, nil)); ok {
-		t.Fatal("set up on a node without a measurement in a fleet that is full everywhere")
+		t.Fatal("set up on a node without a measurement, where all measured nodes are full")
 	}
 }
 
@@ -118,6 +120,7 @@
 	}
 }
 
+// As above, for the excess over reliefTargetLoad: all fronts together must lower about that much.
 func TestManyFrontsLowerAboutTheExcess(t *testing.T) {
 	demandKB := 100 * 200.0
 	excessKB := demandKB * (1.2 - reliefTargetLoad) / 1.2
@@ -126,57 +129,6 @@
 	}
 }
 
-// Where rung 1 has the most worth per kB, a request that fits only at the lowest rung is refused, and relief stops at
-// rung 1.
-func TestNoSetupBelowTheEfficientRung(t *testing.T) {
-	cfg := testConfig()
-	cfg.RungWorth = []float64{0.2, 0.6, 1}
-	front := startFront(t, cfg)
-	front.reportLinkLoads(setupLoadLimit - 0.06) // 60 of 1000 kB/s are free: enough for rung 0 (50), not for 1 (100)
-	if _, actions := front.request(0, 2); hasAction(actions, ActSetup) {
-		t.Fatal("set up at the lowest rung, which is worth less per kB")
-	}
-	front.reportLinkLoads(0.4)
-	if _, actions := front.request(0, 2); !hasAction(actions, ActSetup) {
-		t.Fatal("refused where there is free capacity")
-	}
-}
-
-func TestReliefStopsAtTheEfficientRungUntilDeepOverload(t *testing.T) {
-	for _, load := range []float64{1.05, 1.9} {
-		cfg := testConfig()
-		cfg.RungWorth = []float64{0.2, 0.6, 1}
-		front := startFront(t, cfg)
-		node := testNodes(1)[0].ID
-		var events []Event
-		for i := range SessionID(10) {
-			events = append(events,
-				Event{Kind: EvExistingSession, Session: 500 + i, Node: node, Title: 1, Copies: 3, MaxRung: 2},
-				Event{Kind: EvFeedback, Session: 500 + i, Node: node, Feedback: FeedbackRung, FeedbackValue: 1})
-		}
-		front.step(events...)
-		front.now += 6000
-		front.step(Event{Kind: EvFeedback, Session: 500, Node: node, Feedback: FeedbackLinkLoad, FeedbackValue: load})
-		front.now += 250
-		lowered := hasAction(front.step(Event{Kind: EvTimer, TimerID: tickTimerID}), ActSetRung)
-		if want := load > deepReliefThreshold; lowered != want {
-			t.Fatalf("at load %v lowered is %v, want %v", load, lowered, want)
-		}
-	}
-}
-
-// The first load report of a node is all that is known of it; it must not be averaged with an assumption.
-func TestFirstLoadReportCountsInFull(t *testing.T) {
-	front := startFront(t, testConfig())
-	id, actions := front.request(0, 3)
-	node, _, _ := findSetup(actions)
-	front.step(Event{Kind: EvAttemptEnded, Session: id, Node: node, Outcome: OutcomeFull, SessionOver: true,
-		LoadReport: LoadReport{Present: true, Streams: -1, LinkLoad: 1.2, UplinkLoad: -1}})
-	if load := front.controller.linkLoad(front.controller.nodesByID[node]); load < 1.1 {
-		t.Fatalf("link load estimate %v after a first report of 1.2", load)
-	}
-}
-
 // 300 fronts send requests to one cold node at the same time. Together they must stay within its budget, and at
 // least one must set up a session.
 func TestWarmUpPaceWithThreeHundredFronts(t *testing.T) {
@@ -220,9 +172,9 @@
 	}
 }
 
-// 300 fronts each date a cold node's start differently, some of them restart in between, and connections come up
-// late. In any ColdWindowMs the node must get no more set-ups than it bears, and fronts with little traffic must
-// still warm it up.
+// 300 fronts each have a different start time of a cold node, some of them restart meanwhile, and connections are
+// established late. In any ColdWindowMs the node must get no more set-ups than it accepts, and fronts with little
+// traffic must still warm it up.
 func TestWarmUpPaceWithRestartsAndLateConnections(t *testing.T) {
 	const fronts, warmUpMs, windowMs = 300, 12000.0, 1000.0
 	for name, intervalMs := range map[string]float64{"heavy traffic": 10, "little traffic": 1000} {
@@ -271,7 +223,7 @@
 				}
 			}
 			if count > allowed+2*math.Sqrt(allowed)+2 {
-				t.Errorf("%s: %v set-ups in %v ms, the node bears %.1f", name, count, windowMs,
+				t.Errorf("%s: %v set-ups in %v ms, the node accepts %.1f", name, count, windowMs,
 					allowed+2*math.Sqrt(allowed)+2)
 			}
 		}
