--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -35,7 +35,7 @@
 //
 // Log lines, metrics, traces and messages use external names, which stay as
 // they are: "box" is a media node, "brand" a tenant, "why" a reason, "again"
-// tells whether a request is a retry, and "plays" stands for playing.
+// whether a request is a retry, and "plays" stands for playing.
 //
 // All state belongs to the goroutine of the event loop.
 package director
@@ -160,7 +160,7 @@
 	freeParsers         []*http1.Parser
 	writeBuffer         []byte
 	manifestBuffer      []byte
-	lastConnLimitLogAt  float64
+	lastConnLimitLogAt  float64 // loop time, ms, as are the next* fields
 	agentCheckAddr      string
 	memorySamples       []metrics.Sample
 	nextViewerSweep     float64
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -20,14 +20,14 @@
 // A manifest of each class leads to playable segments, and the same token gets the same manifest again.
 func TestManifestToSegments(t *testing.T) {
 	env := newTestEnv(t, 1, nil)
-	for _, class := range []string{"paid", "free", "floor"} {
+	for _, class := range []string{"paid", "free", "min-rung"} {
 		raw := env.token(class, "j-"+class)
 		got := env.wantStatus(class, env.get(class, raw), 200)
 		manifest, err := dash.Parse([]byte(got.body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if manifest.Representations[0].ID != map[string]string{"paid": "r0", "free": "r0", "floor": "r1"}[class] {
+		if manifest.Representations[0].ID != map[string]string{"paid": "r0", "free": "r0", "min-rung": "r1"}[class] {
 			t.Errorf("%s: lowest representation %s", class, manifest.Representations[0].ID)
 		}
 		for _, url := range []string{manifest.Init(0), manifest.Media(0, 0),
@@ -94,7 +94,7 @@
 		t.Fatalf("%d set-ups", n)
 	}
 	if n := env.onLoop(func() int { return int(env.director.Stats().Requests) }); n != 0 {
-		t.Fatalf("%d of them count as asked", n)
+		t.Fatalf("%d of them count in Requests", n)
 	}
 	// Rotate the keys: both are accepted, then only the new one.
 	env.onLoop(func() int { env.director.SetKeys([]token.Key{env.signingKey, other}); return 0 })
@@ -133,7 +133,7 @@
 	raw := env.token("paid", "j")
 	start := time.Now()
 	env.wantStatus("first", env.get("paid", raw), 504)
-	if elapsed := time.Since(start); elapsed > 640*time.Millisecond {
+	if elapsed := time.Since(start); elapsed > 640*time.Millisecond { // 40 ms of tolerance
 		t.Errorf("answered after %v, the viewer has 600 ms", elapsed)
 	}
 	for _, node := range env.nodes {
@@ -195,7 +195,7 @@
 // A media node fails in various ways after a byte of a paid set-up has reached it: the set-up may have run, so it
 // must not be sent again.
 func TestNodeFailsDuringSetup(t *testing.T) {
-	for name, setup := range map[string]func(c net.Conn, b *scriptedNode){
+	for name, setup := range map[string]func(c net.Conn, node *scriptedNode){
 		"closes before its answer": func(c net.Conn, _ *scriptedNode) { c.Close() },
 		"half an answer": func(c net.Conn, _ *scriptedNode) {
 			io.WriteString(c, "HTTP/1.1 201 Created\r\nContent-Le")
@@ -410,9 +410,9 @@
 	// A viewer that sends requests without end and never reads is disconnected; its pending output is limited.
 	c = dial()
 	c.SetWriteDeadline(time.Now().Add(10 * time.Second))
-	ask := []byte(strings.Repeat("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", 200))
+	requests := []byte(strings.Repeat("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", 200))
 	for {
-		if _, err := c.Write(ask); err != nil {
+		if _, err := c.Write(requests); err != nil {
 			break
 		}
 	}
@@ -522,17 +522,17 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	taken := func() int { return env.onLoop(func() int { return int(env.director.stats.ReportsAccepted) }) }
+	accepted := func() int { return env.onLoop(func() int { return int(env.director.stats.ReportsAccepted) }) }
 	dropped := func() int { return env.onLoop(func() int { return int(env.director.stats.ReportsDropped) }) }
-	if s := post("POST", "?token="+raw, "v=2,e=ps,sta=p,sn=1,mtp=400\nv=2,e=t,sn=2,br=abc\n\n"); s != 204 || taken() != 2 {
-		t.Errorf("two lists: %d, %d taken", s, taken())
+	if s := post("POST", "?token="+raw, "v=2,e=ps,sta=p,sn=1,mtp=400\nv=2,e=t,sn=2,br=abc\n\n"); s != 204 || accepted() != 2 {
+		t.Errorf("two lists: %d, %d accepted", s, accepted())
 	}
-	if n := env.onLoop(func() int { return int(env.director.quality.badKeys["br"]) }); n != 1 {
+	if n := env.onLoop(func() int { return int(env.director.quality.malformedValues["br"]) }); n != 1 {
 		t.Errorf("a malformed key is counted %d times", n)
 	}
 	many := strings.Repeat("v=2,e=t,sn=3\n", 100) + strings.Repeat("x", 600)
-	if s := post("POST", "?token="+raw, many); s != 204 || taken() > 2+reportBurst || dropped() < 101-reportBurst {
-		t.Errorf("a flood: %d, %d taken, %d dropped", s, taken(), dropped())
+	if s := post("POST", "?token="+raw, many); s != 204 || accepted() > 2+reportBurst || dropped() < 101-reportBurst {
+		t.Errorf("a flood: %d, %d accepted, %d dropped", s, accepted(), dropped())
 	}
 	for _, c := range []struct {
 		method, query string
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -19,9 +19,9 @@
 	conn           *loop.Conn
 	parser         *http1.Parser
 	events         http1.EventParser
-	lastReceivedAt float64
+	lastReceivedAt float64 // loop time, ms
 	retryTimer     *loop.Timer
-	failures       int
+	failures       int // in a row
 }
 
 // connect opens the stream unless it is open.
--- a/internal/director/http.go
+++ b/internal/director/http.go
@@ -20,7 +20,7 @@
 	viewerIdle           viewerState = iota // between requests; holds no parser. Closed at its deadline
 	viewerReading                           // a request is being received. Answered with 408 at its deadline
 	viewerCheckingToken                     // the signature of its token is being verified; input is held back
-	viewerAwaitingResult                    // the request is with the ledger; input is held back
+	viewerAwaitingResult                    // the request is with the ledger; input is held back. Also set by an upgrade
 )
 
 // viewerConn is one HTTP connection of a viewer.
@@ -31,7 +31,7 @@
 	pipelined []byte          // input pipelined behind the pending request
 	request   *sessionRequest // the request that waits for its result
 	webSocket *webSocket      // set once the connection was upgraded
-	deadline  float64         // of the current state; sweepViewers closes the connection after it. 0: none
+	deadline  float64         // loop time, ms, of the current state; sweepViewers closes the connection after it. 0: none
 	state     viewerState
 	keepAlive bool // the connection persists after the answer
 	closing   bool // the last answer was written; input is discarded
--- a/internal/director/nodecommands.go
+++ b/internal/director/nodecommands.go
@@ -20,8 +20,8 @@
 	inFlight      bool
 	conn          *nodeConn
 	timer         *loop.Timer
-	attempts      int
-	lastWarningAt float64 // time of the last warning about failed commands; see logIntervalMs
+	attempts      int     // connections on which the command in flight has failed
+	lastWarningAt float64 // loop time, ms, of the last warning about failed commands; see logIntervalMs
 	failures      int     // commands that failed since the last warning
 }
 
--- a/internal/director/nodeconn.go
+++ b/internal/director/nodeconn.go
@@ -29,8 +29,8 @@
 	netConn       *loop.Conn
 	parser        *http1.Parser
 	user          connUser
-	writtenBefore int64 // bytes written on the connection before the current request
-	idleSince     float64
+	writtenBefore int64   // bytes written on the connection before the current request
+	idleSince     float64 // loop time, ms
 	headReported  bool
 	connectTimer  *loop.Timer
 }
@@ -44,7 +44,7 @@
 	connCount   int
 	eventStream *nodeEventStream
 	commands    commandQueue
-	lastUsedAt  float64
+	lastUsedAt  float64 // loop time, ms
 }
 
 // node returns the state for a media node, creating it if needed.
--- a/internal/director/nodestream.go
+++ b/internal/director/nodestream.go
@@ -19,7 +19,7 @@
 	conn   *loop.Conn
 	parser *http1.Parser
 	events http1.EventParser
-	closed bool // closed at the request of decide/health, or replaced
+	closed bool // closed by this director, at the request of decide/health or to replace it
 }
 
 // openEventStream opens the event stream, replacing one that is open.
@@ -81,7 +81,7 @@
 	})
 }
 
-// Closed reports the failure of the stream to decide/health, unless it was closed at its request.
+// Closed reports the failure of the stream to decide/health, unless this director closed it.
 func (e *nodeEventStream) Closed(_ *loop.Conn, err error) {
 	e.node.connCount--
 	if e.closed {
@@ -98,14 +98,15 @@
 // nodeEvent is the data of one event of a media node.
 type nodeEvent struct {
 	Session  string   `json:"session"`
-	Value    float64  `json:"value"`
-	Reason   string   `json:"why"`  // why the session ended
-	Load     string   `json:"load"` // load report in the format of the ORCA header field
+	Value    float64  `json:"value"` // the measurement; feedbackKinds lists the events that carry one
+	Reason   string   `json:"why"`   // why the session ended
+	Load     string   `json:"load"`  // load report in the format of the ORCA header field
 	BootID   string   `json:"boot"`
 	Sessions []string `json:"sessions"`
 }
 
-// feedbackKinds has the module's kind of feedback for each event type that carries a load or a rung.
+// feedbackKinds has the module's kind of feedback for each event type that carries a measurement: a rate share, a load
+// or a rung.
 var feedbackKinds = map[string]headmill.FeedbackKind{
 	"share":  headmill.FeedbackRateShare,
 	"link":   headmill.FeedbackLinkLoad,
--- a/internal/director/observability_test.go
+++ b/internal/director/observability_test.go
@@ -133,8 +133,8 @@
 		}
 	}
 	b.StopTimer()
-	taken := env.onLoop(func() int { return int(env.director.stats.ReportsAccepted) }) - before
-	b.ReportMetric(float64(taken)/b.Elapsed().Seconds(), "taken/s")
+	accepted := env.onLoop(func() int { return int(env.director.stats.ReportsAccepted) }) - before
+	b.ReportMetric(float64(accepted)/b.Elapsed().Seconds(), "taken/s")
 	b.ReportMetric(float64(env.onLoop(func() int { return int(env.director.quality.tracker.Bytes()) }))/64,
 		"bytes/session")
 }
--- a/internal/director/operator.go
+++ b/internal/director/operator.go
@@ -105,7 +105,7 @@
 		for v, n := range d.quality.tracker.Counts() {
 			out.Reports[v.String()] = n
 		}
-		for k, n := range d.quality.badKeys {
+		for k, n := range d.quality.malformedValues {
 			out.BadKeys[k] = n
 		}
 		return out, nil
--- a/internal/director/quality.go
+++ b/internal/director/quality.go
@@ -17,38 +17,39 @@
 
 // qualityState is the director's state around decide/quality.
 type qualityState struct {
-	tracker        *quality.Tracker
-	events         []quality.Event
-	groupNames     map[quality.GroupKey]string
-	lastFeedbackAt float64           // when findings were last passed to the module
-	unknownKeys    uint64            // number of unknown keys in reports
-	badKeys        map[string]uint64 // number of malformed values in reports, by key
-	closedWindows  []*quality.Window // newest last
+	tracker         *quality.Tracker
+	events          []quality.Event
+	groupNames      map[quality.GroupKey]string
+	lastFeedbackAt  float64           // loop time, ms, when findings were last passed to the module
+	unknownKeys     uint64            // number of unknown keys in reports
+	malformedValues map[string]uint64 // number of malformed values in reports, by report key
+	closedWindows   []*quality.Window // newest last
 }
 
 // maxClosedWindows is the number of closed windows kept for queries. Older ones are only in the history, if there is
 // one.
 const maxClosedWindows = 60
 
-// feedbackIntervalMs is the minimum time, in ms, between two rounds of feedback about findings to the module.
+// feedbackIntervalMs is the minimum time, in ms, between two batches of feedback about findings to the module.
 const feedbackIntervalMs = 1000
 
-// maxBadKeys limits the distinct malformed report keys that are counted, as their names come from players.
-const maxBadKeys = 64
+// maxBadKeys limits the distinct report keys whose malformed values are counted, as reports come from
+// players.
+const maxMalformedValueKeys = 64
 
 // initQuality creates the quality tracker from the settings.
 func (d *Director) initQuality() {
 	settings := &d.cfg.Quality
 	d.quality = qualityState{
-		groupNames: map[quality.GroupKey]string{},
-		badKeys:    map[string]uint64{},
+		groupNames:      map[quality.GroupKey]string{},
+		malformedValues: map[string]uint64{},
 		tracker: quality.New(quality.Config{
 			WindowMs:           settings.WindowMs,
 			AllowedLatenessMs:  settings.AllowedLatenessMs,
 			MaxClockSkewMs:     settings.MaxClockSkewMs,
 			SessionRetentionMs: settings.SessionRetentionMs,
-			MaxSpans:           64, // per session
-			DedupWindow:        64, // reports per session
+			MaxSpans:           64, // spans of the timeline kept per session
+			DedupWindow:        64, // last reports per session among which duplicates are recognized
 			MaxGroups:          settings.MaxGroups,
 			MaxBytes:           int64(d.cfg.Limits.Timelines),
 			RungQuality:        d.cfg.Ladder.Worth,
@@ -64,8 +65,9 @@
 	}
 }
 
-// groupID returns the number of a group and records its name for it. Names are never removed, so at most eight times
-// MaxGroups are recorded; a group beyond that has an empty name.
+// groupID returns the ID of a group, a hash of its name, and records the name for it. Names are never removed, also not
+// those of groups that no longer occur, so at most eight times MaxGroups are recorded; a group beyond that has an empty
+// name.
 func (d *Director) groupID(dim quality.Dimension, name string) uint64 {
 	id := xxhash.Sum64String(name)
 	k := quality.GroupKey{Dim: dim, ID: id}
@@ -75,7 +77,8 @@
 	return id
 }
 
-// qualityPlace returns where a session plays and at which rung.
+// qualityPlace returns where a session plays and at which rung. The rack of a cell is the remainder of its number divided
+// by the number of racks.
 func (d *Director) qualityPlace(s *session) quality.Place {
 	addr := d.nodeList.Addr(s.node)
 	return quality.Place{
@@ -86,8 +89,8 @@
 	}
 }
 
-// recordSessionStart reports to decide/quality that a session plays, with its start-up time, which counts for
-// quality.SessionStarted only.
+// recordSessionStart reports to decide/quality that a session plays. kind is quality.SessionStarted, or
+// quality.SessionAdopted, for which the start-up time is ignored.
 func (d *Director) recordSessionStart(s *session, kind quality.EventKind) {
 	d.quality.events = append(d.quality.events, quality.Event{
 		Kind:      kind,
@@ -127,8 +130,8 @@
 	r := cmcd.Parse(text)
 	d.quality.unknownKeys += uint64(len(r.Unknown))
 	for _, k := range r.Invalid {
-		if _, ok := d.quality.badKeys[k]; ok || len(d.quality.badKeys) < maxBadKeys {
-			d.quality.badKeys[k]++
+		if _, ok := d.quality.malformedValues[k]; ok || len(d.quality.malformedValues) < maxMalformedValueKeys {
+			d.quality.malformedValues[k]++
 		}
 	}
 	ev := quality.PlayerReport{
@@ -193,7 +196,7 @@
 	}
 }
 
-// unixMs converts a time of the loop to Unix time in ms.
+// unixMs converts loop time in ms to Unix time in ms.
 func (d *Director) unixMs(at float64) int64 {
 	return d.wallClock().UnixMilli() - int64(d.loop.Now()-at)
 }
--- a/internal/director/request.go
+++ b/internal/director/request.go
@@ -22,8 +22,8 @@
 	id              idempotency.RequestID
 	claims          sessionClaims
 	title           *title
-	receivedAt      float64
-	connectionBound bool // came over a connection to which the session will be attached
+	receivedAt      float64 // loop time, ms
+	connectionBound bool    // came over a connection to which the session will be attached
 	// Session API only.
 	messageID      uint64
 	inlineManifest bool
@@ -85,8 +85,8 @@
 	return xxhash.Sum64String(c.Title + "\x00" + c.Class + "\x00" + c.Subject)
 }
 
-// submit passes a request to the ledger. One that would start a set-up goes through admission control first. The
-// result may be delivered within this call.
+// submit passes a request with verified claims to the ledger. One that would start a set-up goes through admission
+// control first. The result may be delivered within this call.
 func (d *Director) submit(req *sessionRequest, t *title, raw string, c *token.Claims) {
 	now := d.wallClock()
 	d.lastRequestID++
@@ -103,6 +103,7 @@
 	}
 	d.requests[req.id] = req
 	d.stats.Requests++
+	// A paid session is one of a class whose set-up may run at most once, which the settings call "once".
 	ev := idempotency.Event{
 		Kind:            idempotency.RequestArrived,
 		Request:         req.id,
@@ -121,7 +122,8 @@
 	d.ledgerEvents = append(d.ledgerEvents, ev)
 }
 
-// admit checks the quotas and admission control. A request that is not admitted is refused at once.
+// admit checks the quotas and asks admission control, whose results it stores with the request's claims. A request that
+// is not admitted is refused at once.
 func (d *Director) admit(req *sessionRequest) bool {
 	if !d.quotas.Fits(limits.Sessions, 1) || !d.quotas.Fits(limits.Ledger, 1) {
 		d.complete(req, requestResult{
@@ -144,7 +146,7 @@
 		Copies:     req.title.Copies,
 		MaxRung:    req.claims.maxRung,
 	}}, nil)[0]
-	req.claims.headroom, req.claims.retried = a.Headroom, a.Retried
+	req.claims.headroom, req.claims.retried = a.Headroom, a.Retried // not of the token: results of admission control
 	if a.Reason == limits.Admitted {
 		req.claims.maxRung = a.MaxRung
 		return true
--- a/internal/director/session.go
+++ b/internal/director/session.go
@@ -37,12 +37,12 @@
 	mediaURL      string        // base URL of its media at the media node
 	setup         *setupAttempt // the attempt in flight, or one given up whose late answer is awaited
 	attempts      int
-	requestedAt   float64
-	deadline      float64
+	requestedAt   float64 // loop time, ms, as are the next two
+	deadline      float64 // when its viewer is to have its answer
 	playingSince  float64
 	lastOutcome   attempt.Outcome
 	webSockets    []*webSocket        // connections attached to it
-	lastReport    string              // the player's last report over WebSocket
+	lastReport    string              // the player's last report over WebSocket; its length counts in the quota of reports
 	reportLimiter limits.RateLimiter  // limits reports by POST
 	trace         *trace.SessionTrace // nil unless the session is sampled
 }
@@ -55,11 +55,11 @@
 	fingerprint              uint64
 	tenantIndex              int
 	headroom                 float64 // share of a media node's capacity to keep free beside it
-	retried                  bool
+	retried                  bool    // the request was a retry
 }
 
-// stepModules passes the queued events to the decision packages until none are left. It runs at the end of each round
-// of the loop, so that the events of one round are decided as one batch, in order of arrival.
+// stepModules passes the queued events to the decision packages until none are left. It runs at the end of each
+// iteration of the loop, so that the events of one iteration are decided as one batch, in order of arrival.
 func (d *Director) stepModules() {
 	if d.stepping {
 		return
@@ -138,7 +138,7 @@
 // startSetup creates a session for a request and passes it to the module for placement.
 func (d *Director) startSetup(a idempotency.Action) {
 	req := d.requests[a.Request]
-	if req == nil { // the viewer disconnected in the same round; nothing is set up
+	if req == nil { // the viewer disconnected in the same iteration; nothing is set up
 		d.ledgerEvents = append(d.ledgerEvents, idempotency.Event{Kind: idempotency.SetupRefused, Session: a.Session})
 		return
 	}
--- a/internal/director/setup.go
+++ b/internal/director/setup.go
@@ -20,15 +20,15 @@
 	"headmill/internal/orca"
 )
 
-// setupAttempt is one attempt at a media node, from the module's ActSetup to its outcome. For a paid class it lasts
-// up to times.late_ms longer, for a late answer.
+// setupAttempt is one attempt at a media node, from the module's ActSetup to its outcome. For a paid class,
+// whose set-ups may run at most once, it lasts up to times.late_ms longer, for a late answer.
 type setupAttempt struct {
 	director     *Director
 	session      *session
 	node         *mediaNode
 	conn         *nodeConn
 	machine      attempt.Attempt
-	startedAt    float64 // time of the loop
+	startedAt    float64 // loop time, ms
 	timer        *loop.Timer
 	loadReport   orca.Load
 	mediaURL     string
@@ -116,7 +116,8 @@
 	}
 }
 
-// reportSetupEnded reports to decide/health that the set-up is no longer expected at the media node.
+// reportSetupEnded reports to decide/health that the set-up is no longer expected at the media node. decide/health
+// counts a set-up as a session from SetupSent on, and SessionEnded removes it.
 func (a *setupAttempt) reportSetupEnded() {
 	a.director.healthEvents = append(a.director.healthEvents, health.Event{
 		Kind:    health.SessionEnded,
@@ -148,7 +149,8 @@
 	a.bytesWritten(a.conn)
 }
 
-// connected writes the request on a connection that was dialled for it.
+// connected assigns the connection that was dialled for the attempt and reports it to decide/attempt, which writes the
+// request on it.
 func (a *setupAttempt) connected(conn *nodeConn) {
 	if a.machine.State() != attempt.StateWaiting { // timed out before the connection was established
 		conn.release()
--- a/internal/director/testenv_test.go
+++ b/internal/director/testenv_test.go
@@ -70,7 +70,7 @@
 		{Name: "paid", TargetMs: 500, GiveUpMs: 600, Semantics: "once", Value: 3, RateScale: 1, MaxRung: 1},
 		{Name: "free", TargetMs: 500, GiveUpMs: 600, Semantics: "repeatable", Value: 1, RateScale: 1, MaxRung: 1},
 		{
-			Name:      "floor",
+			Name:      "min-rung",
 			TargetMs:  500,
 			GiveUpMs:  600,
 			Semantics: "repeatable",
--- a/internal/director/websocket.go
+++ b/internal/director/websocket.go
@@ -37,10 +37,10 @@
 	requests       []*sessionRequest // pending
 	tokenChecks    int               // number of tokens being verified for messages
 	sessions       []*session
-	lastReceivedAt float64
+	lastReceivedAt float64 // loop time, ms
 	pingSent       bool
-	closeSent      bool // a close frame was sent
-	closeDeadline  float64
+	closeSent      bool               // a close frame was sent
+	closeDeadline  float64            // loop time, ms, at which the connection is closed after a close frame
 	reportLimiter  limits.RateLimiter // of all attached sessions
 }
 
@@ -95,13 +95,15 @@
 			token:          strings.Clone(raw),
 			lastReceivedAt: d.loop.Now(),
 			reader:         ws.Reader{Max: d.cfg.Limits.Message},
-			reportLimiter:  limits.RateLimiter{Burst: 4, RatePerMs: 1 / d.cfg.Times.ReportMs},
+			reportLimiter:  limits.RateLimiter{Burst: 4, RatePerMs: 1 / d.cfg.Times.ReportMs}, // set anew at each report
 		}
 		delete(d.viewers, v)
 		d.webSockets[w] = struct{}{}
 		v.releaseParser()
 		rest := v.pipelined
-		v.pipelined, v.state, v.webSocket = nil, viewerAwaitingResult, w // the viewerConn is not used after this
+		// The viewerConn handles no input after this. There is no request: the state only keeps checkToken from
+		// resuming it.
+		v.pipelined, v.state, v.webSocket = nil, viewerAwaitingResult, w
 		w.conn.SetHandler(w)
 		b := http1.AppendStatusLine(d.writeBuffer[:0], 101)
 		b = append(b, "Upgrade: websocket\r\nConnection: Upgrade\r\n"...)
@@ -154,7 +156,7 @@
 	w.requests, w.sessions = nil, nil
 }
 
-// detach removes the connection from a session.
+// detach removes the connection from the session's list and releases its quota.
 func (w *webSocket) detach(s *session) {
 	w.director.quotas.Release(limits.SocketSessions, 1)
 	for i, attached := range s.webSockets {
@@ -347,11 +349,13 @@
 // maxReportBytes is the length limit of one player report.
 const maxReportBytes = 512
 
-// handleReport keeps a session's last report. Reports faster than one per times.report_ms and session are dropped and
-// counted.
+// handleReport passes a report on to decide/quality and keeps it as the session's last one, whose length counts in the
+// quota of reports. The rate limit is shared by the sessions of the connection: on average one report per
+// times.report_ms and session, with bursts. Reports beyond it, too long ones, ones over the quota and ones of sessions
+// that are not attached are dropped and counted.
 func (w *webSocket) handleReport(m *pb.Report) {
 	d := w.director
-	// The reports of two intervals may come at once, of one session those of four.
+	// The burst is two reports per session, and at least four.
 	w.reportLimiter.RatePerMs = float64(max(len(w.sessions), 1)) / d.cfg.Times.ReportMs
 	w.reportLimiter.Burst = float64(2 * max(len(w.sessions), 2))
 	if !w.reportLimiter.Allow(d.loop.Now()) || len(m.Cmcd) > maxReportBytes {
--- a/internal/director/websocket_test.go
+++ b/internal/director/websocket_test.go
@@ -371,8 +371,8 @@
 			return int(env.director.Stats().ReportsAccepted + env.director.Stats().ReportsDropped)
 		}) == sent
 	})
-	if taken := env.onLoop(func() int { return int(env.director.Stats().ReportsAccepted) }); taken > 3*played+8 {
-		t.Errorf("%d of %d reports taken", taken, sent)
+	if accepted := env.onLoop(func() int { return int(env.director.Stats().ReportsAccepted) }); accepted > 3*played+8 {
+		t.Errorf("%d of %d reports accepted", accepted, sent)
 	}
 	if used := env.onLoop(func() int { return int(env.director.Quotas().Usage(limits.Reports).Used) }); used > 64 {
 		t.Errorf("%d bytes of reports kept, the limit is 64", used)
--- a/internal/platform/frame/frame.go
+++ b/internal/platform/frame/frame.go
@@ -66,7 +66,7 @@
 // Get returns the value of a parameter, nil if it is absent.
 func (m *Message) Get(c Code) []byte { return m.values[c] }
 
-// Has tells whether a parameter is present, even if it is empty.
+// Has reports whether a parameter is present, even if it is empty.
 func (m *Message) Has(c Code) bool { return m.present&(1<<c) != 0 }
 
 // Cause returns the cause of a release or the result in a pong; 0 if absent.
@@ -77,7 +77,7 @@
 	return 0
 }
 
-// isKnownType tells whether t is one of the message types.
+// isKnownType reports whether t is one of the message types.
 func isKnownType(t Type) bool {
 	switch t {
 	case Setup, Progress, Answer, Release, Released, Feedback, Move, Ping, Pong, Rate:
@@ -141,7 +141,7 @@
 	msg Message
 }
 
-// Partial tells whether a message is incomplete.
+// Partial reports whether a message is incomplete.
 func (r *Reader) Partial() bool { return len(r.buf) > 0 }
 
 // Feed takes bytes in any split and calls f for each complete message; it stops when f returns false. After an error the
--- a/internal/platform/proxy/attempt.go
+++ b/internal/platform/proxy/attempt.go
@@ -13,18 +13,18 @@
 
 // setupAttempt is one set-up sent to a media node, from the module's action to its outcome.
 type setupAttempt struct {
-	proxy           *Proxy
-	session         *session
-	node            *mediaNode
-	conn            *nodeConn       // nil while it has none
-	machine         attempt.Attempt // derives the outcome
-	startedAt       float64         // loop time, ms
-	deadline        float64         // loop time, ms
-	startOffset     int64           // value of the connection's Written at which the set-up begins
-	written         bool
-	reportNeverSent bool // an outcome that proves it never ran is reported as headmill.OutcomeNeverSent
-	report          headmill.LoadReport
-	deadlineTimer   *loop.Timer
+	proxy          *Proxy
+	session        *session
+	node           *mediaNode
+	conn           *nodeConn       // nil while it has none
+	machine        attempt.Attempt // derives the outcome
+	startedAt      float64         // loop time, ms
+	deadline       float64         // loop time, ms
+	startOffset    int64           // value of the connection's Written at which the set-up begins
+	written        bool            // the set-up was given to the connection
+	reportNeverRan bool // a proof that it never ran is reported as headmill.OutcomeNeverSent; see step, handleRelease
+	report         headmill.LoadReport
+	deadlineTimer  *loop.Timer
 }
 
 // startAttempt starts the attempt that the module requested. allowedMs is its time; 0: until the viewer gives up.
@@ -60,7 +60,7 @@
 
 // step passes an event to decide/attempt and carries out the actions that it returns.
 func (a *setupAttempt) step(ev attempt.Event) {
-	a.reportNeverSent = a.reportNeverSent || ev.Kind == attempt.Cancelled
+	a.reportNeverRan = a.reportNeverRan || ev.Kind == attempt.Cancelled
 	for _, action := range a.machine.Step(ev, nil) {
 		switch action.Kind {
 		case attempt.Dial:
@@ -103,6 +103,7 @@
 	s, conn := a.session, a.conn.conn
 	out, start := frame.Begin(a.proxy.outBuf[:0], frame.Setup, s.id)
 	out = frame.AppendParameter(out, frame.Class, s.className)
+	// The time left, ms, but at least 1.
 	out = frame.AppendParameter(out, frame.Wait, strconv.Itoa(int(math.Max(a.deadline-a.proxy.loop.Now(), 1))))
 	out = frame.AppendParameter(out, frame.Title, s.title)
 	out = frame.AppendParameter(out, frame.Rung, strconv.Itoa(s.rung))
@@ -115,7 +116,7 @@
 	a.step(attempt.Event{Kind: attempt.BytesWritten, Bytes: conn.Written() - a.startOffset})
 }
 
-// connClosed handles the end of the connection. Whether a byte of the set-up had left decides what it proves.
+// connClosed handles the end of the connection. It proves that the set-up never ran only if no byte of it had left.
 func (a *setupAttempt) connClosed() {
 	if a.written && a.conn.conn.Written() > a.startOffset {
 		a.step(attempt.Event{Kind: attempt.BytesWritten, Bytes: a.conn.conn.Written() - a.startOffset})
@@ -124,8 +125,8 @@
 	a.step(attempt.Event{Kind: attempt.ConnectionClosed})
 }
 
-// handleAnswer passes the media node's answer to the viewer. A description too long for a line can't be passed on; the
-// session is then ended at the media node, since no viewer learns that it plays.
+// handleAnswer passes the media node's answer to the viewer. A session description too long for one JSON line can't be
+// passed on; the session is then ended at the media node, since no viewer learns that it plays.
 func (a *setupAttempt) handleAnswer(sdp []byte) {
 	if a.machine.State() != attempt.StateSent || a.proxy.viewerDisconnected(a.session) {
 		return
@@ -154,7 +155,7 @@
 func (a *setupAttempt) handleRelease(cause byte) {
 	switch cause {
 	case causeFull, causeNeverRan:
-		a.reportNeverSent = cause == causeNeverRan
+		a.reportNeverRan = cause == causeNeverRan
 		a.step(attempt.Event{Kind: attempt.ResponseComplete, Status: 503, NeverRan: true})
 	case causeError:
 		a.proxy.log.Debug("media node answered a set-up with an error", "host", a.node.name, "id", a.session.id,
@@ -167,7 +168,8 @@
 }
 
 // moduleOutcomes has the module's outcome for each outcome of an attempt except OutcomePlaying. OutcomeNeverSent counts
-// as a failed connect, unless setupAttempt.reportNeverSent is set.
+// as a failed connect. With setupAttempt.reportNeverRan, OutcomeFull and OutcomeNeverSent are reported as
+// headmill.OutcomeNeverSent instead, also where the media node got the set-up and states that it never ran.
 var moduleOutcomes = map[attempt.Outcome]headmill.Outcome{attempt.OutcomeFull: headmill.OutcomeFull,
 	attempt.OutcomeNeverSent: headmill.OutcomeConnectFailed, attempt.OutcomeError: headmill.OutcomeFailed,
 	attempt.OutcomeReset: headmill.OutcomeReset, attempt.OutcomeTimedOut: headmill.OutcomeTimedOut,
@@ -184,7 +186,7 @@
 		s.attempt = nil
 	}
 	outcome := moduleOutcomes[o]
-	if a.reportNeverSent && o.NeverRan() { // the media node states it, or the attempt was cancelled before a byte left
+	if a.reportNeverRan && o.NeverRan() { // the media node states it, or the attempt was cancelled before a byte left
 		outcome = headmill.OutcomeNeverSent
 	}
 	p.queueEvent(headmill.Event{Kind: headmill.EvAttemptEnded, Session: s.moduleID, Node: a.node.id, Outcome: outcome,
--- a/internal/platform/proxy/harness_test.go
+++ b/internal/platform/proxy/harness_test.go
@@ -274,6 +274,7 @@
 }
 
 const (
+	// Session ids as text; as numbers they are 0xa1 and 0xa2.
 	id1 = "00000000000000a1"
 	id2 = "00000000000000a2"
 )
@@ -299,7 +300,7 @@
 	if err := errors.Join(unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), unix.Listen(fd, 0)); err != nil {
 		t.Fatal(err)
 	}
-	f := os.NewFile(uintptr(fd), "hole")
+	f := os.NewFile(uintptr(fd), "unresponsive")
 	ln, err := net.FileListener(f)
 	f.Close()
 	if err != nil {
--- a/internal/platform/proxy/medianode.go
+++ b/internal/platform/proxy/medianode.go
@@ -104,7 +104,7 @@
 	return nc
 }
 
-// addrReassigned tells whether the media node is no longer listed and another one has its address. What answers there
+// addrReassigned reports whether the media node is no longer listed and another one has its address. What answers there
 // then proves nothing about this node.
 func (n *mediaNode) addrReassigned() bool {
 	return !n.proxy.nodeList.Listed(n.id) && n.proxy.nodeList.AddrInUse(n.addr)
@@ -135,10 +135,10 @@
 	}
 }
 
-// usable tells whether something new may be written to the connection.
+// usable reports whether something new may be written to the connection.
 func (nc *nodeConn) usable() bool { return nc.established && nc.conn.Open() && nc.addr == nc.node.addr }
 
-// nearIdleTimeout tells whether the media node may be about to close the connection as idle. A set-up that crosses that
+// nearIdleTimeout reports whether the media node may be about to close the connection as idle. A set-up that crosses that
 // close is lost, without a proof that it never ran.
 func (nc *nodeConn) nearIdleTimeout() bool {
 	return nc.node.proxy.loop.Now()-nc.lastUsed > nc.node.proxy.cfg.KeepAliveMs-nc.node.proxy.cfg.ConnectMs
--- a/internal/platform/proxy/proxy.go
+++ b/internal/platform/proxy/proxy.go
@@ -8,7 +8,7 @@
 // stay as they are ("host" is a media node).
 //
 // It owns the sessions and all connections. It turns what arrives on sockets
-// into events for the decision modules, and carries out the actions that they
+// into events for the decision packages, and carries out the actions that they
 // return. It makes no decision itself:
 //
 //	headmill          placement, rung, refusals and their retry advice (the decision module)
@@ -266,8 +266,8 @@
 // times of media nodes in Unix time. The other decide packages get the loop's time.
 func (p *Proxy) now() float64 { return p.unixOffsetMs + p.loop.Now() }
 
-// flush passes the queued events to the decision modules until none is left. It runs at the end of each round of the
-// loop, so that all that arrived in one round is decided as one batch, in its order.
+// flush passes the queued events to the decision packages until none is left. It runs at the end of each iteration of
+// the loop, so that all that arrived in one iteration is decided as one batch, in its order.
 func (p *Proxy) flush() {
 	if p.flushing {
 		return
@@ -321,7 +321,7 @@
 	case headmill.ActSetup:
 		if s != nil && s.state == statePending {
 			p.startAttempt(s, action.Node, action.AtMs)
-		} else { // its viewer left in the same round: the module must not wait for an attempt that is never made
+		} else { // its viewer left in the same iteration: the module must not wait for an attempt that is never made
 			p.queueEvent(headmill.Event{Kind: headmill.EvAttemptEnded, Session: action.Session, Node: action.Node,
 				Outcome: headmill.OutcomeNeverSent, SessionOver: true})
 		}
--- a/internal/platform/proxy/proxy_test.go
+++ b/internal/platform/proxy/proxy_test.go
@@ -365,8 +365,8 @@
 	}
 }
 
-// A set-up and its release arrive in one round. The module must learn that the attempt was never made: otherwise it would
-// hold the node's capacity for good.
+// A set-up and its release arrive in one iteration. The module must learn that the attempt was never made:
+// otherwise it would hold the node's capacity for good.
 func TestSetupAndReleaseInOneRound(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	for i := range 50 { // more than the capacity of 20 streams
--- a/internal/platform/proxy/race_test.go
+++ b/internal/platform/proxy/race_test.go
@@ -31,7 +31,7 @@
 // A set-up and the close of its connection are read together: no attempt is made.
 func TestSetupAndCloseInOneRead(t *testing.T) {
 	h := startHarness(t, 1, nil)
-	for range 5 { // later rounds have a connection to the media node already
+	for range 5 { // later passes have a connection to the media node already
 		v := h.dialViewer()
 		h.expectViewerConns(1)
 		h.runOnLoop(func() {
@@ -60,7 +60,7 @@
 	return 1
 }
 
-// An attempt waits for its connection; the connection opens and the viewer leaves in one round.
+// An attempt waits for its connection; the connection opens and the viewer leaves in one iteration of the loop.
 func TestCloseWhileConnecting(t *testing.T) {
 	addr, listener := fullBacklogListener(t)
 	h := startHarness(t, 1, func(cfg *Config) { cfg.ConnectMs = 60000 })
@@ -69,7 +69,7 @@
 	v.sendSetup(id1, "free", "1;top:0")
 	h.waitFor("no attempt", func(stats Stats) bool { return stats.Attempts == 1 })
 	s := h.session(id1)
-	node := &standInNode{t: t, listener: listener, name: "hole", received: make(chan nodeMessage, 100)}
+	node := &standInNode{t: t, listener: listener, name: "unresponsive", received: make(chan nodeMessage, 100)}
 	h.runOnLoop(func() {
 		v.conn.Close()
 		waitForPeerClose(t, s.viewer.conn)
@@ -89,7 +89,8 @@
 	}
 }
 
-// A media node's answer and the viewer's close are read in one round: the session is released, since no viewer knows it.
+// A media node's answer and the viewer's close are read in one iteration of the loop: the session is released, since no
+// viewer knows it.
 func TestAnswerAndClose(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	v := h.dialViewer()
@@ -374,7 +375,7 @@
 	v.send(`{"type":"release","id":"%s","fields":{},"cause":16}`, id1)
 	node.expect(frame.Release)
 	h.runOnLoop(mediaNode.closeUnusedConns)
-	h.runOnLoop(func() {}) // Closed is called after the round
+	h.runOnLoop(func() {}) // Closed is called after the iteration
 	h.runOnLoop(func() {
 		if len(mediaNode.conns)+len(mediaNode.queue) != 0 {
 			t.Errorf("%d connections, %d messages kept", len(mediaNode.conns), len(mediaNode.queue))
--- a/internal/platform/proxy/session.go
+++ b/internal/platform/proxy/session.go
@@ -49,7 +49,7 @@
 	p.removeSession(s)
 }
 
-// removeSession takes a session out of the table and returns its quota.
+// removeSession takes a session out of the table and releases its quota.
 func (p *Proxy) removeSession(s *session) {
 	p.detachViewer(s)
 	if s.state == statePending {
@@ -64,7 +64,7 @@
 	delete(p.sessionsByModuleID, s.moduleID)
 }
 
-// releaseSetupQuota returns what a set-up held while it was pending.
+// releaseSetupQuota releases the quota and the session description of a set-up that is no longer pending.
 func (p *Proxy) releaseSetupQuota(s *session) {
 	p.pendingSetups--
 	p.quotas.Release(limits.PendingSetups, int64(len(s.sdp)))
@@ -82,8 +82,8 @@
 }
 
 // startSession passes a set-up to the decision module, or adopts a session that already plays. At a memory limit the
-// set-up is refused here with the longest retry advice of the settings. Such a set-up never reaches the module, so it is
-// proven not to have run.
+// set-up is refused here, with the longest retry advice if the settings allow advice. Such a set-up never reaches the
+// module, so it is proven not to have run.
 func (p *Proxy) startSession(v *viewer, id uint64, r *setupRequest) {
 	sdpBytes := int64(len(r.sdp))
 	switch {
@@ -106,7 +106,7 @@
 	s := &session{id: id, moduleID: p.lastModuleID, className: r.className, title: r.title, sdp: r.sdp, viewer: v,
 		deadline: p.loop.Now() + r.timeLeftMs, rung: p.cfg.Module.Classes[r.class].MinRung}
 	p.sessions[id], p.sessionsByModuleID[s.moduleID] = s, s
-	ev := headmill.Event{Kind: headmill.EvRequest, Session: s.moduleID, Class: r.class, Title: r.titleKey,
+	ev := headmill.Event{Kind: headmill.EvRequest, Session: s.moduleID, Class: r.class, Title: r.titleID,
 		TimeLeftMs: r.timeLeftMs, FirstCell: r.firstCell, Copies: r.copies, MaxRung: r.maxRung}
 	if r.playingAt != "" {
 		p.adoptSession(s, discovery.NodeIDFromName(r.playingAt), ev)
@@ -167,9 +167,9 @@
 	p.removeSession(s)
 }
 
-// viewerDisconnected tells whether a set-up has lost its viewer. It also detects a close that has reached the kernel but
-// not yet the loop, and then gives up all set-ups that are pending on that connection. Otherwise an attempt could start,
-// or a session play, that no viewer uses.
+// viewerDisconnected reports whether a set-up has lost its viewer or has ended. It also detects a close that has
+// reached the kernel but not yet the loop, and then gives up all set-ups that are pending on that connection.
+// Otherwise an attempt could start, or a session play, that no viewer uses.
 func (p *Proxy) viewerDisconnected(s *session) bool {
 	v := s.viewer
 	if s.state != statePending || v == nil || !v.conn.PeerClosed() {
--- a/internal/platform/proxy/viewer.go
+++ b/internal/platform/proxy/viewer.go
@@ -145,6 +145,7 @@
 		return
 	}
 	if msg.Type == "ping" {
+		// The cause of a pong is its result, here always 1.
 		v.conn.Write(jsonline.AppendPong(p.outBuf[:0], msg.ID, 1))
 		return
 	}
@@ -160,7 +161,7 @@
 		if s := p.sessions[id]; s != nil {
 			p.endedByViewer(s)
 		}
-		// A viewer that ends a session which has ended already knows of the end, so this confirms it too.
+		// If the session had ended before, its viewer evidently knows that: this confirms the end too.
 		p.stepRetransmitter(release.Event{Kind: release.Confirmed, Session: release.SessionID(id)})
 		v.conn.Write(jsonline.AppendReleased(p.outBuf[:0], id))
 	case "released":
@@ -175,7 +176,7 @@
 type setupRequest struct {
 	class, firstCell, copies, maxRung int
 	className, title, sdp, playingAt  string // playingAt: media node of a session that already plays, else empty
-	titleKey                          uint64
+	titleID                           uint64
 	timeLeftMs                        float64
 }
 
@@ -185,7 +186,7 @@
 	p.stepConnManager(connmgr.Event{Kind: connmgr.RequestRead, Conn: v.id})
 	if s := p.sessions[id]; s != nil {
 		if at, _ := extraValue(msg, "at"); at != "" && s.state != statePending {
-			return // the director already holds this session
+			return // this session is in the table already
 		}
 		// The id is in use. On another connection than the session's, the session goes on and only the new set-up is
 		// refused. On the same connection it is unclear which of the two the viewer means, so both end, with one answer.
@@ -231,14 +232,16 @@
 	}
 	r.playingAt, _ = extraValue(msg, "at")
 	var err error
+	// More than twice the class's deadline is rejected, except for a session that already plays: its time is not bounded.
 	if r.timeLeftMs, err = strconv.ParseFloat(timeLeft, 64); err != nil ||
 		!(r.timeLeftMs > 0) || math.IsInf(r.timeLeftMs, 0) ||
-		r.playingAt == "" && r.timeLeftMs > 2*p.cfg.DeadlineMs[r.class] { // a session that already plays has no deadline
+		r.playingAt == "" && r.timeLeftMs > 2*p.cfg.DeadlineMs[r.class] {
 		return r, causeInvalidField
 	}
-	if r.titleKey, ok = jsonline.ParseID(title); !ok {
+	if r.titleID, ok = jsonline.ParseID(title); !ok {
 		return r, causeInvalidField
 	}
+	// Values outside min and max are invalid. A rung is at most 255.
 	for _, extra := range []struct {
 		name     string
 		target   *int
