--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -528,7 +528,7 @@
 		t.Errorf("two lists: %d, %d accepted", s, accepted())
 	}
 	if n := env.onLoop(func() int { return int(env.director.quality.malformedValues["br"]) }); n != 1 {
-		t.Errorf("a malformed key is counted %d times", n)
+		t.Errorf("a malformed value is counted %d times", n)
 	}
 	many := strings.Repeat("v=2,e=t,sn=3\n", 100) + strings.Repeat("x", 600)
 	if s := post("POST", "?token="+raw, many); s != 204 || accepted() > 2+reportBurst || dropped() < 101-reportBurst {
--- a/internal/director/observability_test.go
+++ b/internal/director/observability_test.go
@@ -79,14 +79,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	story := ""
+	traceText := ""
 	for _, l := range lines {
-		story += fmt.Sprintln(l.Text)
+		traceText += fmt.Sprintln(l.Text)
 	}
 	for _, want := range []string{"session begins", "attempt begins box=127.0.0.1:", "outcome=plays",
 		"  report stall_ms=1300 starved=true", "end=ended here"} {
-		if !strings.Contains(story, want) {
-			t.Errorf("the trace lacks %q:\n%s", want, story)
+		if !strings.Contains(traceText, want) {
+			t.Errorf("the trace lacks %q:\n%s", want, traceText)
 		}
 	}
 }
--- a/internal/director/quality.go
+++ b/internal/director/quality.go
@@ -77,8 +77,8 @@
 	return id
 }
 
-// qualityPlace returns where a session plays and at which rung. The rack of a cell is the remainder of its number divided
-// by the number of racks.
+// qualityPlace returns where a session plays and at which rung. The rack of a cell is the remainder of its number
+// divided by the number of racks.
 func (d *Director) qualityPlace(s *session) quality.Place {
 	addr := d.nodeList.Addr(s.node)
 	return quality.Place{
--- a/internal/platform/proxy/attempt.go
+++ b/internal/platform/proxy/attempt.go
@@ -22,7 +22,7 @@
 	deadline       float64         // loop time, ms
 	startOffset    int64           // value of the connection's Written at which the set-up begins
 	written        bool            // the set-up was given to the connection
-	reportNeverRan bool // a proof that it never ran is reported as headmill.OutcomeNeverSent; see step, handleRelease
+	reportNeverRan bool            // report a proof that it never ran as headmill.OutcomeNeverSent
 	report         headmill.LoadReport
 	deadlineTimer  *loop.Timer
 }
--- a/internal/platform/proxy/proxy_test.go
+++ b/internal/platform/proxy/proxy_test.go
@@ -367,7 +367,7 @@
 
 // A set-up and its release arrive in one iteration. The module must learn that the attempt was never made:
 // otherwise it would hold the node's capacity for good.
-func TestSetupAndReleaseInOneRound(t *testing.T) {
+func TestSetupAndReleaseInOneIteration(t *testing.T) {
 	h := startHarness(t, 1, nil)
 	for i := range 50 { // more than the capacity of 20 streams
 		v := h.dialViewer()
@@ -585,7 +585,7 @@
 	}
 }
 
-// A description is too long for a line to the viewer: the viewer gets a failure, and the session is ended at its media
+// A session description is too long for a line to the viewer, who gets a failure; the session is ended at its media
 // node.
 func TestAnswerTooLongForALine(t *testing.T) {
 	h := startHarness(t, 1, nil)
@@ -657,8 +657,8 @@
 	}
 }
 
-// The descriptions of pending set-ups are limited to a part of the memory; one more is refused at once, with retry
-// advice.
+// The session descriptions of pending set-ups are limited to a part of the memory; one more is refused at
+// once, with retry advice.
 func TestPendingSetupsAreBoundedInMemory(t *testing.T) {
 	h := startHarness(t, 1, func(cfg *Config) { cfg.MemoryMB = 1 })
 	v := h.dialViewer()
