--- a/cmd/headmill/bench.go
+++ b/cmd/headmill/bench.go
@@ -53,7 +53,7 @@
 	}
 	defer discoveryServer.Close()
 	if c.Sockets > 0 {
-		c.Nodes = max(c.Nodes, 64)
+		c.Nodes = max(c.Nodes, 64) // a measurement of players has at least 64 nodes, whatever the flag says
 	}
 	var nodeAddrs []string
 	var nodes []*bench.Node
@@ -70,6 +70,7 @@
 		}
 		resp.Body.Close()
 	}
+	// One director, c.Nodes media nodes and 6 titles of 60,000 ms.
 	settings := cluster.SmallSpec(1, c.Nodes, 6, 60000).Base
 	settings.Director.Name, settings.Director.FirstStart, settings.Discovery.Addr, settings.Tokens.Keys =
 		"bench", true, discoveryServer.Addr(), "keys.json"
@@ -119,7 +120,7 @@
 	fmt.Fprintln(writer, "server\tsessions/s\tp50 ms\tp99 ms\tCPU us a session\tbytes an idle connection\tnot playing")
 	for _, result := range results {
 		fmt.Fprintf(writer, "%s\t%.0f\t%.2f\t%.2f\t%.0f\t%.0f\t%d\n", result.Name, result.PerS, result.P50Ms, result.P99Ms,
-			result.CPUUs, result.IdleBytes, result.NotPlaying)
+			result.CPUMicrosPerSession, result.IdleBytes, result.NotPlaying)
 	}
 	writer.Flush()
 	if c.JSON {
@@ -187,7 +188,7 @@
 		requests[len(requests)/4:]); err != nil {
 		return result, err
 	}
-	result.CPUUs = (bench.CPUMs(cmd.Process.Pid) - cpuBefore) * 1000 / float64(max(result.Sessions, 1))
+	result.CPUMicrosPerSession = (bench.CPUMs(cmd.Process.Pid) - cpuBefore) * 1000 / float64(max(result.Sessions, 1))
 	return result, nil
 }
 
@@ -214,6 +215,7 @@
 	var tokens []string
 	for i := range c.Sockets {
 		title := &settings.Titles[i%len(settings.Titles)]
+		// Viewer "v" of tenant "b"; the highest rung of the session is 3.
 		raw, err := key.Sign(claimsFor(title.Name, title.Class, "v", "b",
 			strconv.FormatInt(time.Now().UnixNano(), 36)+strconv.Itoa(i), 3, time.Hour))
 		if err != nil {
@@ -226,7 +228,7 @@
 	}
 	result, err := bench.MeasureWebSockets(addr, cmd.Process.Pid, tokens, func() {
 		for _, node := range nodes {
-			node.Overload(3)
+			node.Overload(3) // three times the link's capacity
 		}
 	}, 30*time.Second)
 	if err != nil {
--- a/cmd/headmill/rehearse.go
+++ b/cmd/headmill/rehearse.go
@@ -26,8 +26,8 @@
 	Print     bool    `help:"Print the built-in script and exit."`
 }
 
-// Run executes the scenario and prints the report. It returns an error if a rule was broken; the folder with settings,
-// keys and logs is then kept.
+// Run executes the scenario and prints the report. It returns an error if the audit found a rule broken
+// (audit.Report.OK); the folder with settings, keys and logs is then kept.
 func (c *rehearseCmd) Run() error {
 	if c.Print {
 		fmt.Print(scenario.BuiltIn)
@@ -129,7 +129,8 @@
 		row("worth in time, "+tenant, report.WorthByTenant[tenant], "")
 	}
 	row("sessions a second", report.SessionsPerS, fmt.Sprintf("%d set-ups sent", report.Setups))
-	for i, ms := range run.CPU {
+	// Only directors that run at the end are included, so i is not the director's number if one was not restarted.
+	for i, ms := range run.CPUMs {
 		row(fmt.Sprintf("director %d, CPU ms", i), ms, "over the process's life")
 	}
 	row("segments played", run.Stats.Segments.Load(),
--- a/internal/audit/parse.go
+++ b/internal/audit/parse.go
@@ -60,24 +60,24 @@
 	status                  int        // 0: no complete response
 	answeredAt              float64    // when the response's last byte passed
 	responseHeader          http.Header
-	body                    []byte
+	responseBody            []byte
 	conn                    *conn
 }
 
-// countedReader reads a buffer whose size it knows, so that consumed can tell a parser's position in it.
-type countedReader struct {
+// sizedReader is a reader of a buffer with the buffer's size, from which consumed computes a parser's position.
+type sizedReader struct {
 	reader *bytes.Reader
 	size   int
 }
 
 // consumed returns how many bytes of the buffer have been read through buffered, which wraps c.
-func consumed(c *countedReader, buffered *bufio.Reader) int {
+func consumed(c *sizedReader, buffered *bufio.Reader) int {
 	return c.size - c.reader.Len() - buffered.Buffered()
 }
 
 // exchanges parses both directions of a connection. extra counts responses without a request.
 func (c *conn) exchanges() (out []*exchange, extra int) {
-	requests := &countedReader{bytes.NewReader(c.fromClient.data), len(c.fromClient.data)}
+	requests := &sizedReader{bytes.NewReader(c.fromClient.data), len(c.fromClient.data)}
 	requestReader := bufio.NewReaderSize(requests.reader, 4096)
 	for {
 		start := consumed(requests, requestReader)
@@ -109,7 +109,7 @@
 			break
 		}
 	}
-	responses := &countedReader{bytes.NewReader(c.fromServer.data), len(c.fromServer.data)}
+	responses := &sizedReader{bytes.NewReader(c.fromServer.data), len(c.fromServer.data)}
 	responseReader := bufio.NewReaderSize(responses.reader, 4096)
 	for i := 0; consumed(responses, responseReader) < len(c.fromServer.data); i++ {
 		var request *http.Request
@@ -131,7 +131,7 @@
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 && math.IsInf(c.fromServer.endedAt, 1) {
 			break // The body ends with the connection, which is still open.
 		}
-		out[i].status, out[i].responseHeader, out[i].body = response.StatusCode, response.Header, body
+		out[i].status, out[i].responseHeader, out[i].responseBody = response.StatusCode, response.Header, body
 		out[i].answeredAt = c.fromServer.timeOf(consumed(responses, responseReader) - 1)
 	}
 	return out, extra
@@ -242,7 +242,7 @@
 	return strings.TrimSuffix(strings.TrimPrefix(u.Path, "/v/"), "/")
 }
 
-// groupRecords assembles records into connections and returns the recorded marks apart.
+// groupRecords assembles records into connections. marks are the events of the scenario run itself (relay.Mark).
 func groupRecords(records []relay.Record) (conns []*conn, marks []relay.Record) {
 	byID := map[int]*conn{}
 	for _, r := range records {
--- a/internal/audit/verify.go
+++ b/internal/audit/verify.go
@@ -91,7 +91,7 @@
 	SetupsAfterDrain      int     `json:"drain_late"`
 	ColdStartOverloads    int     `json:"cold_pushed"`
 	TitleCapExceeded      int     `json:"seats_exceeded"`
-	WorthInTime           float64 `json:"worth_in_time"` // part of the wanted worth that was earned, 0 to 1
+	WorthInTime           float64 `json:"worth_in_time"` // worth delivered in time as a share of the worth requested, 0 to 1
 	SetupP50Ms            float64 `json:"setup_ms_p50"`  // from a viewer's request to its answer
 	SetupP99Ms            float64 `json:"setup_ms_p99"`
 	SessionsPerS          float64 `json:"sessions_per_s"`
@@ -247,7 +247,7 @@
 				var problem struct {
 					Ran *bool `json:"ran"`
 				}
-				s.provenNotRun = x.status == 503 && json.Unmarshal(x.body, &problem) == nil &&
+				s.provenNotRun = x.status == 503 && json.Unmarshal(x.responseBody, &problem) == nil &&
 					problem.Ran != nil && !*problem.Ran
 				s.endedAt = math.Min(math.Min(x.answeredAt, c.fromClient.endedAt), c.fromServer.endedAt)
 				v.setups = append(v.setups, s)
--- a/internal/audit/viewer_requests.go
+++ b/internal/audit/viewer_requests.go
@@ -13,7 +13,7 @@
 
 // viewerRequest is one request for a session, made over the manifest path or the session API, with its answer.
 type viewerRequest struct {
-	director, path             string
+	director, path             string // relay name of the director; URL path, or "open" for the session API
 	claims                     tokenClaims
 	receivedAt, answeredAt     float64
 	status                     int // HTTP status or its equivalent in the session API; 0: no answer
@@ -24,7 +24,8 @@
 // viewerRequests returns the viewers' requests for sessions in the order in which directors received them.
 func (v *verifier) viewerRequests() (out []viewerRequest) {
 	for _, c := range v.conns {
-		// Relays in front of directors are named d0, d1, ...; a name with a slash is another link of a director.
+		// Relays in front of directors are named d0, d1, ...; a name with a slash is another connection path of a
+		// director, to a media node or to the discovery service.
 		if strings.Contains(c.relay, "/") || !strings.HasPrefix(c.relay, "d") {
 			continue
 		}
@@ -41,7 +42,7 @@
 				continue
 			}
 			claims, _ := requestClaims(x)
-			out = append(out, viewerRequest{c.relay, x.path, claims, x.receivedAt, x.answeredAt, x.status, x.body,
+			out = append(out, viewerRequest{c.relay, x.path, claims, x.receivedAt, x.answeredAt, x.status, x.responseBody,
 				c.fromClient.endedAt, c.fromServer.endedAt})
 		}
 	}
@@ -57,7 +58,7 @@
 }
 
 // frames parses the WebSocket frames that follow the HTTP head of one direction. It implements RFC 6455
-// section 5.2 without the director's code and without fragmentation, which stand-in players do not use.
+// section 5.2 independently of the director's code and without fragmentation, which stand-in players do not use.
 func frames(s *stream) (out []frame) {
 	i := strings.Index(string(s.data), "\r\n\r\n")
 	if i < 0 {
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -19,14 +19,14 @@
 
 // Result is one measurement of one server.
 type Result struct {
-	Name       string  `json:"name"`
-	Sessions   int64   `json:"sessions"`
-	PerS       float64 `json:"sessions_per_s"`
-	P50Ms      float64 `json:"p50_ms"`
-	P99Ms      float64 `json:"p99_ms"`
-	CPUUs      float64 `json:"cpu_us_per_session"`
-	IdleBytes  float64 `json:"bytes_per_idle_connection"`
-	NotPlaying int64   `json:"not_playing"`
+	Name                string  `json:"name"`
+	Sessions            int64   `json:"sessions"`
+	PerS                float64 `json:"sessions_per_s"`
+	P50Ms               float64 `json:"p50_ms"`
+	P99Ms               float64 `json:"p99_ms"`
+	CPUMicrosPerSession float64 `json:"cpu_us_per_session"` // CPU time of the server process, in us
+	IdleBytes           float64 `json:"bytes_per_idle_connection"`
+	NotPlaying          int64   `json:"not_playing"`
 }
 
 // Load requests sessions over persistent connections for a given time, with one request pending on each. requests
--- a/internal/standin/medianode/cmaf.go
+++ b/internal/standin/medianode/cmaf.go
@@ -53,12 +53,14 @@
 	sps, pps := sequenceParameterSet(int(width), int(height)), pictureParameterSet()
 	avcC := mp4Box("avcC", []byte{1, avcProfile, avcConstraintFlags, avcLevel, 0xff, 0xe1},
 		uint16Bytes(uint16(len(sps))), sps, []byte{1}, uint16Bytes(uint16(len(pps))), pps)
+	// 0x480000 is 72 dpi as a 16.16 fixed-point number, 0x18 a depth of 24 bits and 0xffff the predefined value -1.
 	avc1 := mp4Box("avc1", make([]byte, 6), uint16Bytes(1), make([]byte, 16), uint16Bytes(width, height),
 		uint32Bytes(0x480000, 0x480000, 0), uint16Bytes(1), make([]byte, 32), uint16Bytes(0x18, 0xffff), avcC)
 	stbl := mp4Box("stbl", fullBox("stsd", 0, 0, uint32Bytes(1), avc1), fullBox("stts", 0, 0, uint32Bytes(0)),
 		fullBox("stsc", 0, 0, uint32Bytes(0)), fullBox("stsz", 0, 0, uint32Bytes(0, 0)), fullBox("stco", 0, 0, uint32Bytes(0)))
 	dinf := mp4Box("dinf", fullBox("dref", 0, 0, uint32Bytes(1), fullBox("url ", 0, 1)))
 	minf := mp4Box("minf", fullBox("vmhd", 0, 1, make([]byte, 8)), dinf, stbl)
+	// 0x55c4 is the language code "und" (undetermined).
 	mdia := mp4Box("mdia", fullBox("mdhd", 0, 0, uint32Bytes(0, 0, 1000, 0), uint16Bytes(0x55c4, 0)),
 		fullBox("hdlr", 0, 0, uint32Bytes(0), []byte("vide"), make([]byte, 12), []byte("headmill\x00")), minf)
 	tkhd := fullBox("tkhd", 0, 3, uint32Bytes(0, 0, 1, 0, 0, 0, 0), uint16Bytes(0, 0, 0, 0), unityMatrix,
@@ -76,7 +78,9 @@
 	styp := mp4Box("styp", []byte("msdh"), uint32Bytes(0), []byte("msdhcmfs"))
 	moof := func(dataOffset uint32, samples [][]byte) []byte {
 		tfdt := fullBox("tfdt", 1, 0, binary.BigEndian.AppendUint64(nil, uint64(beginMs)))
-		// Duration of all samples, and flags of all but the first; trun has the flags of the first.
+		// tfhd (flags 0x20028) has the duration of all samples, and the flags of all but the first: 0x01010000, which
+		// depend on others and are not sync samples. trun (flags 0x205) has the data offset, the flags of the first
+		// sample (0x02000000: depends on no other) and the size of each sample.
 		tfhd := fullBox("tfhd", 0, 0x20028, uint32Bytes(1, uint32(durationMs/count), 0x01010000))
 		trun := uint32Bytes(uint32(count), dataOffset, 0x02000000)
 		for i := range count {
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -26,7 +26,7 @@
 type Request struct {
 	Title, Class string
 	AtMostOnce   bool          // the title's class allows one set-up per token: the viewer retries a failure once
-	GiveUp       time.Duration // longest wait for a manifest
+	GiveUpAfter  time.Duration // longest wait for a manifest
 	WatchTime    time.Duration // how long the viewer wants to watch, retries included
 	Seed         uint64
 	// Token returns a newly signed session token for a new session of this viewer.
@@ -40,7 +40,7 @@
 
 // Stats counts the events of all viewers that share it.
 type Stats struct {
-	Requests       atomic.Int64 // requests for a manifest, duplicates not counted
+	Requests       atomic.Int64 // requests for a session, by either API; duplicates not counted
 	Played         atomic.Int64 // answered with a manifest
 	Refused        atomic.Int64 // answered with 503
 	Failed         atomic.Int64 // answered with another 5xx, or with an invalid manifest
@@ -48,10 +48,11 @@
 	Denied         atomic.Int64 // answered with any other status
 	Unreachable    atomic.Int64 // not answered
 	Segments       atomic.Int64 // segments received
-	LateSegments   atomic.Int64 // segments received later than their playing time
+	LateSegments   atomic.Int64 // segments that took longer to receive than they last
 }
 
-// retryAfterCompliance is the share of refused viewers that wait for the time in Retry-After.
+// retryAfterCompliance is the share of refused viewers that wait for the time in Retry-After. The others retry after
+// the usual pause of 0.7 to 2.5 s.
 const retryAfterCompliance = 0.85
 
 // NewClient returns an HTTP client for all viewers. It opens a connection for each request, so that viewers share none.
@@ -69,7 +70,8 @@
 	err        error
 }
 
-// fetchManifest requests a manifest and waits for the answer a little longer than the viewer would.
+// fetchManifest requests a manifest. It waits 200 ms longer for the answer than the viewer would, so an answer that is
+// late by less is still received.
 func fetchManifest(ctx context.Context, client *http.Client, url string, giveUp time.Duration) answer {
 	ctx, cancel := context.WithTimeout(ctx, giveUp+200*time.Millisecond)
 	defer cancel()
@@ -90,7 +92,7 @@
 	return result
 }
 
-// Watch plays one viewer until it has watched, gives up, or ctx ends.
+// Watch simulates one viewer until its WatchTime is over, it is done or gives up, or ctx ends.
 func Watch(ctx context.Context, client *http.Client, request Request, stats *Stats) {
 	rng := rand.New(rand.NewPCG(request.Seed, 7))
 	end := time.Now().Add(request.WatchTime)
@@ -102,7 +104,7 @@
 		duplicateDone := make(chan struct{})
 		if request.Duplicate {
 			request.Duplicate = false
-			go func() { fetchManifest(ctx, client, url, request.GiveUp); close(duplicateDone) }()
+			go func() { fetchManifest(ctx, client, url, request.GiveUpAfter); close(duplicateDone) }()
 		} else {
 			close(duplicateDone)
 		}
@@ -110,15 +112,16 @@
 		ended, closeSession := make(chan struct{}), func() {}
 		if request.UseSessionAPI {
 			base, _, _ := strings.Cut(url, "/dash/")
-			result, ended, closeSession = openSession(ctx, client, base, token, request.GiveUp)
+			result, ended, closeSession = openSession(ctx, client, base, token, request.GiveUpAfter)
 			if homeURL := result.homeURL; homeURL != "" {
-				result, ended, closeSession = openSession(ctx, client, homeURL, token, request.GiveUp)
+				result, ended, closeSession = openSession(ctx, client, homeURL, token, request.GiveUpAfter)
 				url = homeURL + strings.TrimPrefix(url, base)
 			}
 		} else {
-			result = fetchManifest(ctx, client, url, request.GiveUp)
+			result = fetchManifest(ctx, client, url, request.GiveUpAfter)
 		}
 		<-duplicateDone
+		// Viewers retry after 0.7 to 2.5 s unless they follow Retry-After.
 		pause := time.Duration(700+rng.IntN(1800)) * time.Millisecond
 		switch {
 		case result.err != nil:
@@ -141,6 +144,7 @@
 		case result.status == 503:
 			stats.Refused.Add(1)
 			if result.retryAfter > 0 && rng.Float64() < retryAfterCompliance {
+				// Up to 300 ms are added at random.
 				pause = result.retryAfter + time.Duration(rng.IntN(300))*time.Millisecond
 			}
 			if request.IgnoreRetryAfter {
@@ -186,6 +190,7 @@
 			cmcd += ",bs"
 		}
 		requestedAt := time.Now()
+		// A segment fails if it takes longer than four segment durations.
 		maxKbps, err := fetchSegment(ctx, client, presentation.Media(rep, i)+"&CMCD="+neturl.QueryEscape(cmcd),
 			4*time.Duration(presentation.SegmentMs)*time.Millisecond)
 		throughputKbps = presentation.Representations[rep].KBps * presentation.SegmentMs * 8 /
@@ -199,6 +204,7 @@
 			stats.LateSegments.Add(1)
 			starved = true
 		}
+		// Rates are compared with a tolerance of 1 kbit/s for rounding.
 		if maxKbps > 0 {
 			for rep > 0 && presentation.Representations[rep].KBps*8 > maxKbps+1 {
 				rep--
@@ -208,7 +214,7 @@
 			}
 			// The suggested rate is above the manifest's highest representation: the manifest is read again.
 			if presentation.Representations[len(presentation.Representations)-1].KBps*8 < maxKbps-1 {
-				if reread := fetchManifest(ctx, client, url, request.GiveUp); reread.status == 200 {
+				if reread := fetchManifest(ctx, client, url, request.GiveUpAfter); reread.status == 200 {
 					if updated, err := dash.Parse(reread.body); err == nil && updated.BaseURL == presentation.BaseURL {
 						presentation, rep = updated, len(updated.Representations)-1
 					}
--- a/internal/standin/scenario/run.go
+++ b/internal/standin/scenario/run.go
@@ -52,7 +52,7 @@
 	activeViewers sync.WaitGroup
 	StartedAt     time.Time
 	Stats         player.Stats
-	CPU           []float64 // CPU time in ms of each director that runs at the end
+	CPUMs         []float64 // CPU time in ms of each director that runs at the end
 }
 
 // Execute runs the script to its end and returns the audit report on what the relays recorded.
@@ -93,8 +93,8 @@
 	startedAt := time.Now()
 	r.StartedAt = startedAt
 	var wg sync.WaitGroup
-	// Targets, retry floods and viewers draw from separate streams of one seed (11, 17 and 13), so that draws for one do
-	// not change those for the others.
+	// Targets, retry floods and viewers draw from separate streams of one seed (11, 17 and 13), so that random
+	// numbers for one do not change those for the others.
 	targetRand := rand.New(rand.NewPCG(script.Seed, 11))
 	for _, trouble := range script.Troubles {
 		targets := r.pickTargets(trouble, targetRand)
@@ -115,7 +115,7 @@
 	r.activeViewers.Wait()
 	for _, director := range testCluster.Directors {
 		if director.Proc.Alive() {
-			r.CPU = append(r.CPU, bench.CPUMs(director.Proc.Pid()))
+			r.CPUMs = append(r.CPUMs, bench.CPUMs(director.Proc.Pid()))
 		}
 	}
 	time.Sleep(300 * time.Millisecond) // the last events must pass the relays
@@ -147,8 +147,8 @@
 	return strings.Join(out, ",")
 }
 
-// pickTargets selects the media nodes or directors that a trouble affects; the same seed selects the same ones. The
-// draw takes place even if the script names the targets, so that they do not change the draws for later troubles.
+// pickTargets selects the media nodes or directors that a trouble affects; the same seed selects the same ones. It uses
+// the random numbers even if the script names the targets, so that the selection for later troubles stays the same.
 func (r *Run) pickTargets(trouble Trouble, rng *rand.Rand) []int {
 	candidates := r.Script.Nodes
 	if affectsDirectors[trouble.Name] {
@@ -347,7 +347,7 @@
 	}
 }
 
-// startViewer draws a viewer of a tenant and starts it; edit, if not nil, changes its request first.
+// startViewer generates a random viewer of a tenant and starts it; edit, if not nil, changes its request first.
 func (r *Run) startViewer(rng *rand.Rand, edit func(*player.Request), tenant int) {
 	script, testCluster := r.Script, r.cluster
 	titles := testCluster.Spec.Base.Titles
@@ -360,8 +360,8 @@
 	}
 	tokenCount := 0
 	request := player.Request{Title: title.Name, Class: title.Class, AtMostOnce: class.Semantics == "once",
-		GiveUp:    time.Duration(class.GiveUpMs) * time.Millisecond,
-		WatchTime: time.Duration(title.DurationMs) * time.Millisecond, Seed: rng.Uint64(),
+		GiveUpAfter: time.Duration(class.GiveUpMs) * time.Millisecond,
+		WatchTime:   time.Duration(title.DurationMs) * time.Millisecond, Seed: rng.Uint64(),
 		Duplicate: rng.Float64() < script.DuplicateFraction, UseSessionAPI: rng.Float64() < script.SessionAPIFraction,
 		Token: func() string {
 			tokenCount++
--- a/internal/standin/scenario/script.go
+++ b/internal/standin/scenario/script.go
@@ -15,7 +15,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Script describes a scenario. Troubles are its faults; they have the names and columns under which operators record them.
+// Script describes a scenario. Troubles are its injected faults; their names and keys are those of the operators'
+// incident records.
 type Script struct {
 	Seconds            float64        `toml:"seconds"` // length of the scenario
 	Rate               float64        `toml:"rate"`    // new viewers per second
@@ -55,14 +56,14 @@
 	Name      string  `toml:"name"`
 	AtS       float64 `toml:"at_s"`  // start, in seconds since the scenario's start
 	DurationS float64 `toml:"len_s"` // duration
-	Fraction  float64 `toml:"part"`  // share of media nodes or directors that are affected, at least one
+	Fraction  float64 `toml:"part"`  // share of media nodes or directors that are affected; at least one is
 	Magnitude float64 `toml:"size"`  // strength; its meaning depends on the trouble
 	Extra     float64 `toml:"extra"` // accepted and not used
-	Targets   []int   `toml:"on"`    // numbers of the affected nodes or directors, in place of a draw
+	Targets   []int   `toml:"on"`    // numbers of the affected nodes or directors; if empty, they are chosen at random
 }
 
-// affectsDirectors has the troubles that this version supports, and whether they affect directors rather than media
-// nodes or viewers.
+// affectsDirectors has an entry for each trouble that this version supports: true if the trouble affects directors, false
+// if it affects media nodes or viewers. Parse rejects names without an entry.
 var affectsDirectors = map[string]bool{"crash": false, "vanish": false, "hang": false, "fast_errors": false,
 	"slow": false, "answer_lost": false, "report_late": false, "burst": false, "balancer_crash": true, "drain": false,
 	"cold_start": false, "retry_flood": false, "origin_slow": false}
@@ -70,7 +71,8 @@
 // unsupportedTroubles are troubles that operators record and this version does not support yet.
 var unsupportedTroubles = []string{"neighbour", "hot_key", "zone_cut", "balancer_roll", "report_gap", "shared_slow"}
 
-// BuiltIn is the script that is run by default.
+// BuiltIn is the script that is run by default. Its text is external. It has most of the supported troubles, but not
+// retry_flood and origin_slow.
 const BuiltIn = `# A bad day of half a minute: every trouble that this version plays, some of them together.
 seconds = 30
 rate = 30
