--- a/cmd/headmill/main_test.go
+++ b/cmd/headmill/main_test.go
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	if !report.OK() {
-		t.Errorf("rules broke: %s", strings.Join(report.Violations, "\n"))
+		t.Errorf("rules were broken: %s", strings.Join(report.Violations, "\n"))
 	}
 	if report.SessionAPIRequests == 0 {
 		t.Error("no viewer used the session API")
@@ -121,8 +121,8 @@
 	}
 }
 
-// A burst of viewers must not come back as a second burst: refused viewers retry spread out, so the highest rate of
-// retries stays below that of first attempts, and no rule is broken.
+// A burst of viewers must not cause a second burst of retries: refused viewers retry spread out, so the highest rate of
+// retries stays below that of first requests, and no rule is broken.
 func TestRush(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -140,7 +140,7 @@
 	}
 	t.Logf("%+v", *report)
 	if !report.OK() {
-		t.Errorf("rules broke: %s", strings.Join(report.Violations, "\n"))
+		t.Errorf("rules were broken: %s", strings.Join(report.Violations, "\n"))
 	}
 	if report.Refused < 50 || report.PeakFirstRequestsPerS < 100 || report.PeakRetriesPerS >= report.PeakFirstRequestsPerS {
 		t.Errorf("no burst, or retries at a rate not below the burst's: %+v", report)
@@ -456,7 +456,7 @@
 		t.Fatal(err)
 	}
 	if !report.OK() {
-		t.Errorf("rules broke: %s", strings.Join(report.Violations, "\n"))
+		t.Errorf("rules were broken: %s", strings.Join(report.Violations, "\n"))
 	}
 	findings, err := run.Findings()
 	if err != nil {
--- a/internal/audit/parse.go
+++ b/internal/audit/parse.go
@@ -86,7 +86,7 @@
 		}
 		request, err := http.ReadRequest(requestReader)
 		if err != nil {
-			// A set-up of which only a part was sent counts as sent all the same.
+			// A set-up of which only a part was sent still counts as sent.
 			if name, ok := strings.CutPrefix(string(c.fromClient.data[start:]), "PUT "); ok {
 				path, _, _ := strings.Cut(name, " ")
 				out = append(out, &exchange{method: "PUT", path: path, firstByteAt: c.fromClient.timeOf(start),
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -2,10 +2,10 @@
 // net/http.
 //
 // Load, IdleConnectionBytes and MeasureWebSockets take the address of a running
-// server, and its process id where they measure memory. They return session rates, latencies and the
-// memory per connection. The peers do as little work as possible, so that the
-// server dominates the measurement: a Node answers set-ups at once, and clients
-// keep their connections. ServeBaseline runs the server to compare with. The
+// server, and its process ID where they measure memory. They return session
+// rates, latencies and the memory per connection. The peers do as little work as
+// possible, so that the server dominates the measurement: a Node answers set-ups
+// at once, and clients keep their connections. ServeBaseline runs the server to compare with. The
 // package only measures and sets no limits for the results.
 package bench
 
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -36,7 +36,7 @@
 // has no figures, only its evidence; a group has no evidence. The figures are those of quality.Group. The columns' names
 // are external.
 type Row struct {
-	FromMs   int64   `parquet:"from_ms,delta"` // Unix time
+	FromMs   int64   `parquet:"from_ms,delta"` // Unix time, ms
 	ToMs     int64   `parquet:"to_ms,delta"`
 	Director string  `parquet:"director,dict"`
 	Dim      string  `parquet:"dim,dict"`  // quality.Dimension as text
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -68,7 +68,7 @@
 	maxLingering    int
 	closedConns     []*Conn      // closed in this iteration; Closed is called after the iteration's events
 	maxLag          float64      // ms; longest iteration since MaxLag was last called: a ready event waits up to that long
-	onRound         func()       // called at the end of each iteration (round)
+	onIteration     func()       // called at the end of each iteration
 	localNetwork    netip.Prefix // permitted addresses besides the loopback interface's
 
 	mu            sync.Mutex
@@ -147,7 +147,7 @@
 func (l *Loop) SetMaxLingering(n int) { l.maxLingering = n }
 
 // OnIteration sets the function called at the end of each iteration, after its events and timers.
-func (l *Loop) OnIteration(f func()) { l.onRound = f }
+func (l *Loop) OnIteration(f func()) { l.onIteration = f }
 
 // Timer is a scheduled call.
 type Timer struct {
@@ -223,8 +223,8 @@
 			heap.Pop(&l.timers).(*Timer).callback()
 		}
 		l.notifyClosed()
-		if l.onRound != nil {
-			l.onRound()
+		if l.onIteration != nil {
+			l.onIteration()
 		}
 		l.mu.Lock()
 		stop := l.stopRequested
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -8,8 +8,8 @@
 // The states of a node:
 //
 //	state     meaning           left when
-//	ready     heartbeats come   it is marked as draining; heartbeats stop
-//	draining  marked by Drain   the mark is taken back; heartbeats stop
+//	ready     heartbeats come   Drain marks it; heartbeats stop
+//	draining  marked by Drain   Drain removes the mark; heartbeats stop
 //	gone      heartbeats ended  a heartbeat is received
 package discovery
 
@@ -114,7 +114,7 @@
 	s.httpServer.Close()
 }
 
-// Drain marks a node as draining, or takes the mark back.
+// Drain marks a node as draining, or removes the mark.
 func (s *Server) Drain(addr string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/medianode/node.go
+++ b/internal/standin/medianode/node.go
@@ -302,7 +302,7 @@
 		return
 	}
 	node.errorSequence++
-	// Failures are spread evenly over the set-ups, not drawn at random.
+	// Failures are spread evenly over the set-ups, not chosen at random.
 	fails := faults.ErrorFraction > 0 && math.Mod(float64(node.errorSequence)*faults.ErrorFraction, 1) < faults.ErrorFraction
 	node.pendingSetups++
 	node.mu.Unlock()
@@ -685,8 +685,8 @@
 		body = mediaSegment(number, beginMs, lengthMs, int(node.config.RateKB[rung]*scale*float64(lengthMs)),
 			320*(rung+1), 180*(rung+1), rung)
 	}
-	// The link is shared: a session gets its share of the rate of its rung, and half as much again while the link
-	// and the uplink are not full.
+	// The link is shared: a session gets its share of the rate of its rung, or one and a half times the rate while
+	// the link and the uplink are not full.
 	pacedKBps := rateKBps * share
 	if share >= 1 {
 		pacedKBps *= 1.5
