--- a/api.go
+++ b/api.go
@@ -135,7 +135,7 @@
 // Outcome is the result of an attempt or of the session that it started.
 type Outcome uint16
 
-// The outcomes. OutcomeFull, OutcomeConnectFailed and OutcomeNeverSent prove that the set-up has not run.
+// The outcomes. OutcomeFull, OutcomeConnectFailed and OutcomeNeverRan prove that the set-up has not run.
 const (
 	OutcomeFailed        Outcome = iota // the node answered with an error
 	OutcomeServed                       // the session ended normally
@@ -144,7 +144,7 @@
 	OutcomeConnectFailed                // no connection to the node
 	OutcomeReset                        // the connection broke
 	OutcomeCancelled                    // cancelled before it ended
-	OutcomeNeverSent                    // proven not to have run, without a fault of the node: not sent, or so answered
+	OutcomeNeverRan                     // proven not to have run, without a fault of the node: not sent, or so answered
 )
 
 // EventKind tells which fields of an Event are set.
--- a/controller.go
+++ b/controller.go
@@ -1136,7 +1136,7 @@
 		return
 	}
 	if outcome := event.Outcome; !session.mayHaveRun &&
-		outcome != OutcomeFull && outcome != OutcomeConnectFailed && outcome != OutcomeNeverSent {
+		outcome != OutcomeFull && outcome != OutcomeConnectFailed && outcome != OutcomeNeverRan {
 		session.mayHaveRun, session.mayHaveRunAt, session.mayHaveRunOn = true, c.now-event.LatencyMs, node
 	}
 	c.placeSession(session)
--- a/internal/platform/proxy/attempt.go
+++ b/internal/platform/proxy/attempt.go
@@ -22,7 +22,7 @@
 	deadline       float64         // loop time, ms
 	startOffset    int64           // value of the connection's Written at which the set-up begins
 	written        bool            // the set-up was given to the connection
-	reportNeverRan bool            // report a proof that it never ran as headmill.OutcomeNeverSent
+	reportNeverRan bool            // report a proof that it never ran as headmill.OutcomeNeverRan
 	report         headmill.LoadReport
 	deadlineTimer  *loop.Timer
 }
@@ -169,7 +169,7 @@
 
 // moduleOutcomes has the module's outcome for each outcome of an attempt except OutcomePlaying. OutcomeNeverSent counts
 // as a failed connect. With setupAttempt.reportNeverRan, OutcomeFull and OutcomeNeverSent are reported as
-// headmill.OutcomeNeverSent instead, also where the media node got the set-up and states that it never ran.
+// headmill.OutcomeNeverRan instead, also where the media node got the set-up and states that it never ran.
 var moduleOutcomes = map[attempt.Outcome]headmill.Outcome{attempt.OutcomeFull: headmill.OutcomeFull,
 	attempt.OutcomeNeverSent: headmill.OutcomeConnectFailed, attempt.OutcomeError: headmill.OutcomeFailed,
 	attempt.OutcomeReset: headmill.OutcomeReset, attempt.OutcomeTimedOut: headmill.OutcomeTimedOut,
@@ -187,7 +187,7 @@
 	}
 	outcome := moduleOutcomes[o]
 	if a.reportNeverRan && o.NeverRan() { // the media node states it, or the attempt was cancelled before a byte left
-		outcome = headmill.OutcomeNeverSent
+		outcome = headmill.OutcomeNeverRan
 	}
 	p.queueEvent(headmill.Event{Kind: headmill.EvAttemptEnded, Session: s.moduleID, Node: a.node.id, Outcome: outcome,
 		SessionOver: s.state == stateEnded, LatencyMs: p.loop.Now() - a.startedAt, LoadReport: a.report})
--- a/internal/platform/proxy/proxy.go
+++ b/internal/platform/proxy/proxy.go
@@ -323,7 +323,7 @@
 			p.startAttempt(s, action.Node, action.AtMs)
 		} else { // its viewer left in the same iteration: the module must not wait for an attempt that is never made
 			p.queueEvent(headmill.Event{Kind: headmill.EvAttemptEnded, Session: action.Session, Node: action.Node,
-				Outcome: headmill.OutcomeNeverSent, SessionOver: true})
+				Outcome: headmill.OutcomeNeverRan, SessionOver: true})
 		}
 	case headmill.ActSetRung:
 		if s != nil {
--- a/many_fronts_test.go
+++ b/many_fronts_test.go
@@ -208,7 +208,7 @@
 					Copies: 3}
 				if node, _, ok := findSetup(front.Step(now, []Event{request}, nil)); ok {
 					setupTimes = append(setupTimes, now+cfg.ConnectTimeoutMs*random.Float64())
-					front.Step(now, []Event{{Kind: EvAttemptEnded, Session: request.Session, Node: node, Outcome: OutcomeNeverSent,
+					front.Step(now, []Event{{Kind: EvAttemptEnded, Session: request.Session, Node: node, Outcome: OutcomeNeverRan,
 						SessionOver: true}}, nil)
 				}
 			}
