--- a/controller.go
+++ b/controller.go
@@ -116,7 +116,7 @@
 	// staleLoadDecayMs is the time in which a stale measurement decays by two thirds.
 	staleLoadDecayMs = 3000.0
 	// staleGraceMs is the time past the configured report interval and delay after which a measurement is
-	// stale: a report may be that late.
+	// stale.
 	staleGraceMs = 1000.0
 	// streamDecayMs is the time in which the reported streams of other fronts decay by two thirds: this
 	// front does not see those sessions end.
--- a/internal/director/quality.go
+++ b/internal/director/quality.go
@@ -33,7 +33,7 @@
 // feedbackIntervalMs is the minimum time, in ms, between two batches of feedback about findings to the module.
 const feedbackIntervalMs = 1000
 
-// maxBadKeys limits the distinct report keys whose malformed values are counted, as reports come from
+// maxMalformedValueKeys limits the distinct report keys whose malformed values are counted, as reports come from
 // players.
 const maxMalformedValueKeys = 64
 
--- a/internal/standin/scenario/run.go
+++ b/internal/standin/scenario/run.go
@@ -190,7 +190,7 @@
 	return true
 }
 
-// playTrouble injects a trouble into its targets, waits for its duration and removes it.
+// injectTrouble injects a trouble into its targets, waits for its duration and removes it.
 func (r *Run) injectTrouble(trouble Trouble, targets []int) {
 	wait := func() { time.Sleep(secondsDuration(trouble.DurationS)) }
 	apply := func(begin, end func(f *medianode.Faults)) {
