--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink connects headmill's decision module to the simulator: it
-// reads batches of events in the format of package wire from standard input and
+// Command benchlink connects headmill's decision module to the simulator (and
+// has nothing to do with package bench): it reads batches of events in the format of package wire from standard input and
 // writes one reply with the resulting actions for each batch to standard output.
 // It ends at the end of the input, and with status 1 on a batch that it cannot
 // decode or that does not fit the open instances.
@@ -40,6 +40,7 @@
 	reader, writer := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<16)
 	for {
 		now, msgs, err := h.decoder.ReadBatch(reader)
+		// Plain EOF: the input ended between two batches, not within one.
 		if errors.Is(err, io.EOF) && msgs == nil && !errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
--- a/cmd/headmill/bench.go
+++ b/cmd/headmill/bench.go
@@ -178,7 +178,7 @@
 		return result, err
 	}
 	defer stop()
-	requests := mintRequests(key, settings, addr, c.MaxTokens)
+	requests := signRequests(key, settings, addr, c.MaxTokens)
 	if _, err = bench.Load(addr, c.Conns, time.Second, requests[:len(requests)/4]); err != nil { // warm-up
 		return result, err
 	}
@@ -241,8 +241,8 @@
 	return nil
 }
 
-// mintRequests returns n manifest requests, each with a token of its own. Signing is spread over some goroutines.
-func mintRequests(key token.Key, settings *config.Settings, addr string, n int) [][]byte {
+// signRequests returns n manifest requests, each with a token of its own. Signing is spread over some goroutines.
+func signRequests(key token.Key, settings *config.Settings, addr string, n int) [][]byte {
 	requests := make([][]byte, n)
 	var wg sync.WaitGroup
 	runID := strconv.FormatInt(time.Now().UnixNano(), 36)
--- a/cmd/headmill/proxy.go
+++ b/cmd/headmill/proxy.go
@@ -15,7 +15,7 @@
 	"headmill/internal/platform/proxy"
 )
 
-// proxyCmd is the command "node": a director on the users' platform, where it runs as a proxy.
+// proxyCmd is the command "node": a director on the platform of package proxy, where it runs as a proxy.
 type proxyCmd struct {
 	Name   string `env:"PROXY_NAME" help:"Must equal the configuration's name if given."`
 	Listen string `env:"PROXY_LISTEN" help:"Must equal the configuration's listen if given."`
@@ -23,7 +23,7 @@
 	Log    string `default:"info" help:"Lowest level that is logged: debug, info, warn, error."`
 }
 
-// Run serves on the users' platform until a signal has requested a stop and all sessions have ended.
+// Run serves on the platform until a signal has requested a stop and all sessions have ended.
 func (c *proxyCmd) Run() error {
 	signals := make(chan os.Signal, 4) // before all else, since a signal without a handler ends the process
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
--- a/cmd/headmill/quality.go
+++ b/cmd/headmill/quality.go
@@ -44,7 +44,7 @@
 	return t, nil
 }
 
-// Run reads the history of the period, writes the plots and prints the causes of lost worth. Damaged files are named
+// Run reads the history of the period, writes the plots and prints the causes of lost quality (the printed heading calls it worth). Damaged files are named
 // and left out.
 func (c *reportCmd) Run() error {
 	now := time.Now()
@@ -83,7 +83,7 @@
 }
 
 type showCmd struct {
-	Subject   string        `arg:"" name:"what" enum:"racks,boxes,titles,classes,brands,families,session" help:"racks, boxes, titles, classes, brands, families, or session."`
+	What      string        `arg:"" name:"what" enum:"racks,boxes,titles,classes,brands,families,session" help:"racks, boxes, titles, classes, brands, families, or session."`
 	JTI       string        `arg:"" optional:"" help:"The token's jti, for session."`
 	Operators []string      `name:"at" required:"" help:"Address of each director's operator API (director.operator); their figures are added up."`
 	Window    time.Duration `name:"last" default:"30s" help:"Length of the period before now."`
@@ -120,7 +120,7 @@
 		defer conn.Close()
 		clients = append(clients, pb.NewOperatorClient(conn))
 	}
-	if c.Subject == "session" {
+	if c.What == "session" {
 		return c.showSession(clients)
 	}
 	stop := untilSignal()
@@ -143,7 +143,7 @@
 	answered := 0
 	for i, client := range clients {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		reply, err := client.Quality(ctx, &pb.QualityRequest{Dimension: dimensionNames[c.Subject],
+		reply, err := client.Quality(ctx, &pb.QualityRequest{Dimension: dimensionNames[c.What],
 			LastMs: float64(c.Window.Milliseconds())})
 		cancel()
 		if err != nil {
@@ -184,7 +184,7 @@
 		if a.Lost != b.Lost {
 			return int(math.Copysign(1, b.Lost-a.Lost))
 		}
-		return int(map[bool]float64{true: -1, false: 1}[a.Name < b.Name])
+		return int(map[bool]float64{true: -1, false: 1}[a.Name < b.Name]) // -1 if a's name precedes b's
 	})
 	findings := quality.MergeFindings(directorFindings)
 	if c.JSON {
@@ -197,13 +197,13 @@
 	}
 	writer := tabwriter.NewWriter(os.Stdout, 2, 8, 2, ' ', 0)
 	fmt.Fprintf(writer, "%s\treports\tquality\tshare p50\tshare p5\tstart p50 ms\tp95\tstalled\tworth lost\n",
-		dimensionNames[c.Subject])
+		dimensionNames[c.What])
 	for _, row := range rows {
 		fmt.Fprintf(writer, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%.3f\t%.1f\n", row.Name, row.Reports, row.Quality,
 			row.ShareP50, row.ShareP05, row.StartP50, row.StartP95, row.Stalled, row.Lost)
 	}
 	writer.Flush()
-	for _, f := range findings {
+	for _, f := range findings { // Load is the rate needed over the rate received
 		fmt.Printf("finding: %s %s, for %.1f s, named by %s: %d of %d sessions short; asked for about %.2f of what it gives\n",
 			f.Dim, f.Name, f.SinceMs/1000,
 			strings.Join(f.Directors, ", "), f.Short, f.Sessions, f.Load)
--- a/cmd/headmill/rehearse.go
+++ b/cmd/headmill/rehearse.go
@@ -26,7 +26,7 @@
 	Print     bool    `help:"Print the built-in script and exit."`
 }
 
-// Run plays the scenario and prints the report. It returns an error if a rule was broken; the folder with settings,
+// Run executes the scenario and prints the report. It returns an error if a rule was broken; the folder with settings,
 // keys and logs is then kept.
 func (c *rehearseCmd) Run() error {
 	if c.Print {
@@ -89,7 +89,8 @@
 
 func sortedKeys(m map[string]float64) []string { return slices.Sorted(maps.Keys(m)) }
 
-// printReport prints the audit's report, the rules with their verdicts and the findings of the quality detector.
+// printReport prints the audit's report, the rules with their verdicts and the findings of the quality detector. The texts
+// are external.
 func printReport(report *audit.Report, run *scenario.Run, elapsed time.Duration, dir string) {
 	fmt.Println()
 	writer := tabwriter.NewWriter(os.Stdout, 2, 8, 2, ' ', 0)
@@ -118,7 +119,7 @@
 	row("  5 under the floor", report.BelowMinRung, verdict(report.BelowMinRung))
 	row("  6 attempts over the ration", report.RetryBudgetExceeded, verdict(report.RetryBudgetExceeded))
 	row("worth in time", report.WorthInTime, "of what was wanted (stand-in boxes)")
-	row("set-up, ms", fmt.Sprintf("%.1f / %.1f", report.SetupP50, report.SetupP99),
+	row("set-up, ms", fmt.Sprintf("%.1f / %.1f", report.SetupP50Ms, report.SetupP99Ms),
 		"p50 / p99, as the viewer's relay saw it")
 	row("first tries", report.FirstRequests,
 		fmt.Sprintf("%d played in time; %d of all requests over the session API", report.FirstRequestsInTime, report.SessionAPIRequests))
--- a/cmd/headmill/serve.go
+++ b/cmd/headmill/serve.go
@@ -36,8 +36,8 @@
 	return token.ParseKeys(text)
 }
 
-// openLog opens the log: the file, or standard error if none is set. The returned function writes out what is buffered
-// and closes it.
+// openLog opens the log: the file, or standard error if none is set. The returned function writes out the queued
+// lines; the file stays open.
 func openLog(settings config.Log) (*slog.Logger, func(), error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(settings.Level)); err != nil {
@@ -51,7 +51,7 @@
 		}
 		out = f
 	}
-	writer := logfile.New(out, 8192)
+	writer := logfile.New(out, 8192) // queue of 8192 lines
 	return slog.New(slog.NewJSONHandler(writer, &slog.HandlerOptions{Level: level})), writer.Close, nil
 }
 
--- a/cmd/headmill/token.go
+++ b/cmd/headmill/token.go
@@ -65,7 +65,7 @@
 	ValidFor time.Duration `name:"for" default:"10m" help:"Validity period."`
 }
 
-// Run mints a token and prints it.
+// Run signs a new session token and prints it.
 func (c *mintCmd) Run() error {
 	keys, err := loadKeys(c.Keys)
 	if err != nil {
--- a/cmd/headmill/up.go
+++ b/cmd/headmill/up.go
@@ -44,12 +44,12 @@
 	spec := cluster.SmallSpec(c.Directors, c.Nodes, 6, c.ClipS*1000)
 	spec.Executable, spec.Dir = exe, dir
 	spec.DiscoveryStartDelayMs, spec.NodeConfig.IdleTimeoutMs = 0, 30000
-	fleet, err := cluster.New(spec)
+	localCluster, err := cluster.New(spec)
 	if err != nil {
 		return err
 	}
-	defer fleet.Close()
-	if err := fleet.Start(); err != nil {
+	defer localCluster.Close()
+	if err := localCluster.Start(); err != nil {
 		return err
 	}
 	var out struct {
@@ -62,24 +62,24 @@
 		Pids      []int     `json:"director_pids"`
 	}
 	out.State = dir
-	for _, member := range fleet.Directors {
+	for _, member := range localCluster.Directors {
 		out.Directors, out.Pids = append(out.Directors, member.URL), append(out.Pids, member.Proc.Pid())
 	}
-	for _, member := range fleet.Nodes {
+	for _, member := range localCluster.Nodes {
 		out.Nodes = append(out.Nodes, "http://"+member.Proc.Addr)
 	}
 	tokens := []string{}
 	for i := range spec.Base.Titles {
 		t := &spec.Base.Titles[i]
 		claims := claimsFor(t.Name, t.Class, "viewer-"+strconv.Itoa(i), "demo", "", 3, time.Hour)
-		raw, err := fleet.Key.Sign(claims)
+		raw, err := localCluster.Key.Sign(claims)
 		if err != nil {
 			return err
 		}
 		tokens = append(tokens, raw)
 		out.Titles = append(out.Titles, upTitle{t.Name, t.Class})
 		out.Manifests = append(out.Manifests,
-			fleet.Directors[ownerIndex(fleet, claims.ID)].URL+"/dash/"+t.Name+"/manifest.mpd?token="+raw)
+			localCluster.Directors[ownerIndex(localCluster, claims.ID)].URL+"/dash/"+t.Name+"/manifest.mpd?token="+raw)
 	}
 	_, scriptErr := os.Stat(c.Dashjs)
 	addr, err := cluster.Page(c.Dashjs, &out)
@@ -117,9 +117,9 @@
 
 // ownerIndex returns the index of the director that owns the session of an at-most-once token; any other director
 // redirects the viewer to it.
-func ownerIndex(fleet *cluster.Cluster, jti string) int {
+func ownerIndex(localCluster *cluster.Cluster, jti string) int {
 	var names []string
-	for _, member := range fleet.Directors {
+	for _, member := range localCluster.Directors {
 		names = append(names, member.Name)
 	}
 	return idempotency.Owner(jti, names)
--- a/deploy/sites/main_test.go
+++ b/deploy/sites/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// writeKit writes a small stand-in of the users' kit and an override file with the given settings, each to a folder.
+// writeKit writes a small stand-in of the simulator's kit and an override file with the given settings, each to a folder.
 func writeKit(t *testing.T, set string) (kit, dir string) {
 	t.Helper()
 	kit, dir = t.TempDir(), t.TempDir()
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -100,8 +100,8 @@
 		P50Ms: float64(latencies.ValueAtQuantile(50)) / 1000, P99Ms: float64(latencies.ValueAtQuantile(99)) / 1000}, nil
 }
 
-// IdleConnectionBytes opens connections that make one request and then stay idle, and returns the resident memory in bytes that
-// each of them adds to the process.
+// IdleConnectionBytes opens connections that make one request and then stay idle, and returns the resident memory in
+// bytes that each of them adds to the process.
 func IdleConnectionBytes(addr string, pid, conns int) (float64, error) {
 	before := ResidentBytes(pid)
 	var open []net.Conn
--- a/internal/bench/websocket.go
+++ b/internal/bench/websocket.go
@@ -27,9 +27,9 @@
 	MaxMs       float64 `json:"push_max_ms"`
 }
 
-// MeasureWebSockets opens one connection with one session for each token. It then calls push, which must make the director
-// change all rungs, and measures when the players receive the changes. It waits for at most the given time, and
-// less once no more changes arrive.
+// MeasureWebSockets opens one connection with one session for each token. It then calls push, which must make the
+// director change all rungs, and measures when the players receive the changes. It waits for at most the given time,
+// and less once no more changes arrive.
 func MeasureWebSockets(addr string, pid int, tokens []string, push func(), wait time.Duration) (r WebSocketResult, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/cmcd/cmcd.go
+++ b/internal/cmcd/cmcd.go
@@ -30,7 +30,7 @@
 	Preloading  State = 'd'
 )
 
-// Record holds the values of one list. Absent numbers are NaN, absent texts are empty.
+// Record holds the values of one list. Absent numbers are NaN, absent texts are empty; New returns such a record.
 type Record struct {
 	Bitrate             float64 // br, kbit/s: encoded bitrate of the object requested or played
 	Buffer              float64 // bl, ms: buffer length
@@ -58,7 +58,7 @@
 	Invalid []string          // keys with a value of the wrong type or range
 }
 
-// The bounds of one list; what exceeds them is ignored and reported as "(more)" in Bad.
+// The bounds of one list; what exceeds them is ignored and reported as "(more)" in Invalid.
 const (
 	MaxListBytes = 2048 // bytes
 	MaxKeys      = 48
@@ -67,8 +67,8 @@
 // New returns a record in which all keys are absent.
 func New() Record {
 	n := math.NaN()
-	return Record{Bitrate: n, Buffer: n, Throughput: n, RequestedThroughput: n, MaxBitrate: n, Rate: n, Deadline: n, Duration: n, TimestampMs: n,
-		StallMs: n, StartDelayMs: n, Playhead: n, SequenceNumber: -1, Version: 1}
+	return Record{Bitrate: n, Buffer: n, Throughput: n, RequestedThroughput: n, MaxBitrate: n, Rate: n, Deadline: n,
+		Duration: n, TimestampMs: n, StallMs: n, StartDelayMs: n, Playhead: n, SequenceNumber: -1, Version: 1}
 }
 
 // Parse parses one list.
@@ -78,8 +78,8 @@
 	return r
 }
 
-// FromQuery parses the list in a request's raw query (parameter CMCD, percent-encoded); it returns false if there is
-// none.
+// FromQuery parses the list in a request's raw query (parameter CMCD, percent-encoded); it returns a zero Record
+// and false if there is none.
 func FromQuery(raw string) (Record, bool) {
 	for raw != "" {
 		var part string
@@ -110,7 +110,7 @@
 	return r, found
 }
 
-// markInvalid adds a key to Bad, up to MaxKeys.
+// markInvalid adds a key to Invalid, up to MaxKeys.
 func (r *Record) markInvalid(key string) {
 	if len(r.Invalid) < MaxKeys {
 		r.Invalid = append(r.Invalid, key)
@@ -171,7 +171,7 @@
 	return len(key) <= 64
 }
 
-// truncateKey bounds an invalid key for Bad.
+// truncateKey bounds an invalid key for Invalid.
 func truncateKey(s string) string { return s[:min(len(s), 32)] }
 
 // numericFields maps the keys whose value is a non-negative number to the field that holds it.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
 // Package config reads a director's settings from a TOML file and checks them.
 // Each error names file, line and key and says what is expected. The package
 // holds no state. Defaults exist for limits and times that an operator may
-// change; the settings of the decision module are passed on unchanged, and its
-// own validation has the last word.
+// change; the settings of the decision module are passed on unchanged, and the
+// module validates them itself.
 package config
 
 import (
@@ -20,7 +20,8 @@
 	"headmill"
 )
 
-// Settings holds the whole file. Times are in ms, rates in kB/s and sizes in bytes unless a name says otherwise.
+// Settings holds the whole file. Times are in ms, rates in kB/s and sizes in bytes unless a name says otherwise. The keys
+// of the file and the texts of SettingError are external.
 type Settings struct {
 	Director  Director  `toml:"director"`
 	Discovery Discovery `toml:"list"`
@@ -72,12 +73,12 @@
 	MaxClockSkewMs     float64 `toml:"skew_ms"`      // largest clock skew assumed of a player
 	SessionRetentionMs float64 `toml:"keep_ms"`      // how long the timeline of an ended session is kept
 	DetectIntervalMs   float64 `toml:"look_ms"`      // interval between runs of the detector
-	ConfirmMs          float64 `toml:"confirm_ms"`   // how long a cause must explain most before it is reported
+	ConfirmMs          float64 `toml:"confirm_ms"`   // how long a cause must remain the best explanation before it is reported
 	MaxGroups          int     `toml:"groups"`       // groups in a window at most
-	SwitchCost         float64 `toml:"switch_cost"`  // quality units per unit of quality change
+	SwitchCost         float64 `toml:"switch_cost"`  // quality units (the ladder's worth) per unit of quality change
 	StallCost          float64 `toml:"stall_cost"`   // quality units per second of stall
 	StartupCost        float64 `toml:"start_cost"`   // quality units per second of start-up
-	ShortfallBelow     float64 `toml:"short_under"`  // fraction of the granted rate under which a session is short
+	ShortfallBelow     float64 `toml:"short_under"`  // fraction of the granted rate below which a session counts as short of its rate
 	MinSessions        int     `toml:"min_sessions"` // of a group, for a finding
 	MinScore           float64 `toml:"min_score"`    // log-likelihood gain required of a finding
 	Relieve            bool    `toml:"relieve"`      // findings on racks and nodes are reported to the decision module
@@ -109,7 +110,7 @@
 	Addr    string  `toml:"addr"` // IPv4:PORT
 	Path    string  `toml:"path"`
 	RetryMs float64 `toml:"retry_ms"` // pause before reconnecting
-	// SilentMs is the time without a byte after which the stream is considered broken; the service sends comments as
+	// StreamTimeoutMs is the time without a byte after which the stream is considered broken; the service sends comments as
 	// heartbeats.
 	StreamTimeoutMs float64 `toml:"silent_ms"`
 }
@@ -156,7 +157,7 @@
 	WriteMs             float64 `toml:"write_ms"`      // to send an answer to a viewer
 	ConnectMs           float64 `toml:"connect_ms"`    // to connect to a media node
 	NodeIdleMs          float64 `toml:"box_idle_ms"`   // of an idle pooled connection to a media node
-	LateAnswerMs        float64 `toml:"late_ms"`       // how long a late answer to a paid set-up is waited for
+	LateAnswerMs        float64 `toml:"late_ms"`       // how long a late answer to an at-most-once set-up is waited for
 	UnclaimedTTLMs      float64 `toml:"hold_ms"`       // how long a session that no viewer has claimed is kept
 	NodeStreamTimeoutMs float64 `toml:"box_silent_ms"` // silence after which a node's event stream counts as broken
 	NodeTimeoutMs       float64 `toml:"box_lost_ms"`   // silence after which a node's sessions are given up
@@ -169,13 +170,13 @@
 	DetachedTTLMs       float64 `toml:"tie_ms"`        // how long a session outlives its WebSocket connection
 	ReportMs            float64 `toml:"report_ms"`     // agreed interval between a player's reports on one session
 	NoticeMs            float64 `toml:"notice_ms"`     // at shutdown: new sessions are refused before the listener closes
-	AnswerMarginMs      float64 `toml:"margin_ms"`     // time before a viewer's give-up at which it is answered
+	AnswerMarginMs      float64 `toml:"margin_ms"`     // a viewer is answered at least this long before it gives up
 }
 
 // Ladder describes the ladder of rates, from the lowest rung to the highest.
 type Ladder struct {
 	RateKB          []float64 `toml:"rate_kb"`    // rate of each rung, kB/s
-	Worth           []float64 `toml:"worth"`      // quality of each rung
+	Worth           []float64 `toml:"worth"`      // worth of each rung: utility per second; see headmill.Config.RungWorth
 	Width           []int     `toml:"width"`      // picture width of each rung, pixels
 	SegmentMs       float64   `toml:"segment_ms"` // duration of a media segment
 	RungChangeCostS float64   `toml:"switch_s"`   // cost of a rung change, in seconds of worth
--- a/internal/dash/mpd.go
+++ b/internal/dash/mpd.go
@@ -161,7 +161,7 @@
 	return p, nil
 }
 
-// Segments returns the number of media segments.
+// Segments returns the number of media segments: DurationMs / SegmentMs rounded up, as both are whole milliseconds.
 func (p *Presentation) Segments() int { return int((p.DurationMs + p.SegmentMs - 1) / p.SegmentMs) }
 
 // Init returns the URL of the initialization segment of representation rep.
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -8,8 +8,9 @@
 // a slow disk can't take are dropped and counted, Put never blocks.
 //
 // A segment is written completely under a temporary name, synced and renamed, so
-// that neither a reader nor a crash ever leaves a partial one. A crash loses the
-// rows that are not written yet: those of history.segment_s at most.
+// that a reader never sees a partial one, even after a crash; Open removes what a
+// crash left. A crash loses the rows that are not written yet: those of the last
+// Config.SegmentMs at most.
 //
 // Read returns the rows of all directors in a directory; Summarize aggregates them,
 // and Summary.Draw plots the result.
@@ -31,32 +32,34 @@
 	"headmill/decide/quality"
 )
 
-// Row is one group in one window, the total of one window (Dim "whole"), or one finding (Finding is true).
+// Row is one group in one window, the total of one window (Dim "whole"), or one finding (Finding is true). A finding
+// has no figures, only its evidence; a group has no evidence. The figures are those of quality.Group. The columns' names
+// are external.
 type Row struct {
 	FromMs   int64   `parquet:"from_ms,delta"` // Unix time
 	ToMs     int64   `parquet:"to_ms,delta"`
 	Director string  `parquet:"director,dict"`
-	Dim      string  `parquet:"dim,dict"`
-	Name     string  `parquet:"name,dict"`
+	Dim      string  `parquet:"dim,dict"`  // quality.Dimension as text
+	Name     string  `parquet:"name,dict"` // of the group
 	Finding  bool    `parquet:"finding"`
-	Evidence string  `parquet:"evidence,dict"`
+	Evidence string  `parquet:"evidence,dict"` // quality.Finding as text
 	Reports  int64   `parquet:"reports"`
 	Starts   int64   `parquet:"starts"`
 	StallMs  float64 `parquet:"stall_ms"`
-	Stalled  int64   `parquet:"stalled"`
-	Score    float64 `parquet:"score"`
-	Lost     float64 `parquet:"lost"`
-	Switches int64   `parquet:"switches"`
-	StartUp  []byte  `parquet:"start_up,zstd"` // DDSketch in its library's encoding
-	Share    []byte  `parquet:"share,zstd"`
+	Stalled  int64   `parquet:"stalled"`       // reports with a stall
+	Score    float64 `parquet:"score"`         // sum of the reports' quality (Group.QualitySum)
+	Lost     float64 `parquet:"lost"`          // sum of the missing quality (Group.QualityLost)
+	Switches int64   `parquet:"switches"`      // changes of rung
+	StartUp  []byte  `parquet:"start_up,zstd"` // start-up times: DDSketch in its library's encoding
+	Share    []byte  `parquet:"share,zstd"`    // shares of the needed rate that sessions received: DDSketch
 }
 
 // NewRow returns the row of a group in a window.
 func NewRow(fromMs, toMs int64, director, dim, name string, g *quality.Group) Row {
 	startup, share := g.Encode()
 	return Row{FromMs: fromMs, ToMs: toMs, Director: director, Dim: dim, Name: name, Reports: g.Reports, Starts: g.Starts,
-		StallMs: g.StallMs, Stalled: g.StalledReports, Score: g.QualitySum, Lost: g.QualityLost, Switches: g.Switches, StartUp: startup,
-		Share: share}
+		StallMs: g.StallMs, Stalled: g.StalledReports, Score: g.QualitySum, Lost: g.QualityLost, Switches: g.Switches,
+		StartUp: startup, Share: share}
 }
 
 // Group returns the group that the row was made of.
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -36,7 +36,8 @@
 	return l
 }
 
-// Error describes why a message was rejected; Status is the status code with which a server answers it.
+// Error describes why a message was rejected. Status is the status code with which a server answers a request; it has no
+// meaning for a response. Reasons are external: clients receive them.
 type Error struct {
 	Status int
 	Reason string
@@ -243,7 +244,7 @@
 			skip += 2
 		}
 		if skip > 0 {
-			if p.ignoredBytes += skip; p.ignoredBytes > 16 { // bounded, since it is work without a request
+			if p.ignoredBytes += skip; p.ignoredBytes > 16 { // bytes; bounded, since it is work without a request
 				return skip, badRequest("empty lines before the request line")
 			}
 			return skip, nil
@@ -251,7 +252,7 @@
 	}
 	if len(p.pending) == 1 && p.pending[0] == '\r' && b[0] == '\n' && !p.response { // CR and LF arrived in separate calls
 		p.pending = p.pending[:0]
-		if p.ignoredBytes += 2; p.ignoredBytes > 16 {
+		if p.ignoredBytes += 2; p.ignoredBytes > 16 { // the same bound
 			return 1, badRequest("empty lines before the request line")
 		}
 		return 1, nil
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -13,7 +13,7 @@
 	Connected(c *Conn)
 	// Data delivers received bytes, split at arbitrary points; b is only valid during the call.
 	Data(c *Conn, b []byte)
-	// Drained is called when the kernel has taken all buffered output.
+	// Flushed is called when the kernel has taken all buffered output.
 	Flushed(c *Conn)
 	// Closed is the last call for c and is made exactly once. err is nil after an orderly end of stream and after a
 	// close without an error.
@@ -120,11 +120,12 @@
 // Pending returns the number of output bytes that the kernel has not taken yet.
 func (c *Conn) Pending() int { return len(c.outBuf) }
 
-// SetOutputLimit bounds the buffered output in bytes; beyond it the connection is closed with ErrSlowReader. 0 means no bound.
+// SetOutputLimit bounds the buffered output in bytes; beyond it the connection is closed with ErrSlowReader. 0 means no
+// bound.
 func (c *Conn) SetOutputLimit(n int) { c.outLimit = n }
 
-// SetReadPaused stops reading, to apply back-pressure to a peer that sends faster than its data is processed; Pause(false)
-// resumes it.
+// SetReadPaused stops reading, to apply back-pressure to a peer that sends faster than its data is processed;
+// SetReadPaused(false) resumes it.
 func (c *Conn) SetReadPaused(on bool) {
 	if c.readPaused != on {
 		c.readPaused = on
@@ -175,8 +176,8 @@
 	return sent, nil
 }
 
-// CloseGracefully closes the connection once all buffered output has been sent. What the peer still sends is then read and
-// discarded for a bounded time: closing a socket with unread input resets the connection, and the peer may lose the
+// CloseGracefully closes the connection once all buffered output has been sent. What the peer still sends is then read
+// and discarded for a bounded time: closing a socket with unread input resets the connection, and the peer may lose the
 // response that explains the close (RFC 9112 section 9.6; RFC 6455 section 7.1.1; nginx calls it a lingering close).
 func (c *Conn) CloseGracefully() {
 	if c.state == stateOpen && len(c.outBuf) > 0 {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,9 +1,9 @@
 // Package loop implements a director's single event loop: epoll, timers,
 // wake-ups, stream sockets and connected datagram sockets. Sockets are
 // restricted to the loopback interface and, where SetLocalAddr is called, the
-// director's own private network. It is the only package with system calls. It
-// owns file descriptors and buffered output; it does not interpret the bytes
-// and contains no application logic.
+// director's own private network. It is the only package that makes socket and
+// epoll system calls itself. It owns file descriptors and buffered output; it
+// does not interpret the bytes and contains no application logic.
 //
 // Everything but Post and Stop runs on the goroutine that called Run, so
 // nothing else in a director needs a lock. The design follows nginx's event
@@ -13,11 +13,11 @@
 //
 //	state       meaning                          events
 //	connecting  Dial has been called             writable: open, or closed on a connect error
-//	open        data flows in both directions    readable: Handler.Data; output flushed: Handler.Drained;
-//	                                             end of stream, error, Close, CloseWrite (once flushed): closed
+//	open        data flows in both directions    readable: Handler.Data; output flushed: Handler.Flushed;
+//	                                             end of stream, error, Close, CloseGracefully (once flushed): closed
 //	closed      the owner no longer has it       Handler.Closed is called once, at the end of the iteration
 //
-// After CloseWrite the loop keeps the descriptor for a bounded time and
+// After CloseGracefully the loop keeps the descriptor for a bounded time and
 // discards what the peer still sends.
 package loop
 
@@ -66,9 +66,9 @@
 	events          []unix.EpollEvent
 	lingering       map[int]*lingeringConn
 	maxLingering    int
-	closedConns     []*Conn // closed in this iteration; Closed is called after the iteration's events
-	maxLag          float64 // ms; longest iteration since MaxLag was last called
-	onRound         func()
+	closedConns     []*Conn      // closed in this iteration; Closed is called after the iteration's events
+	maxLag          float64      // ms; longest iteration since MaxLag was last called: a ready event waits up to that long
+	onRound         func()       // called at the end of each iteration (round)
 	localNetwork    netip.Prefix // permitted addresses besides the loopback interface's
 
 	mu            sync.Mutex
@@ -110,7 +110,8 @@
 // Now returns the time of the current iteration in ms since New; it is monotonic.
 func (l *Loop) Now() float64 { return l.now }
 
-// MaxLag returns the duration of the longest iteration, in ms, since its previous call.
+// MaxLag returns the loop's lag: the duration of the longest iteration, in ms, since its previous call. An event that
+// becomes ready waits up to that long.
 func (l *Loop) MaxLag() float64 {
 	lag := l.maxLag
 	l.maxLag = 0
@@ -145,7 +146,7 @@
 // programs with few file descriptors.
 func (l *Loop) SetMaxLingering(n int) { l.maxLingering = n }
 
-// OnRound sets the function called at the end of each iteration, after its events and timers.
+// OnRound sets the function called at the end of each iteration (round), after its events and timers.
 func (l *Loop) OnRound(f func()) { l.onRound = f }
 
 // Timer is a scheduled call.
@@ -214,7 +215,7 @@
 			return fmt.Errorf("loop: epoll_wait: %w", err)
 		}
 		l.updateNow()
-		roundStart := l.now
+		iterationStart := l.now
 		for i := range max(n, 0) {
 			l.dispatch(int(l.events[i].Fd), l.events[i].Events)
 		}
@@ -232,7 +233,7 @@
 			return nil
 		}
 		l.updateNow()
-		l.maxLag = max(l.maxLag, l.now-roundStart)
+		l.maxLag = max(l.maxLag, l.now-iterationStart)
 	}
 }
 
@@ -343,7 +344,7 @@
 	}
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err = unix.Bind(fd, sa); err == nil {
-		err = unix.Listen(fd, 4096)
+		err = unix.Listen(fd, 4096) // backlog: connections that the kernel queues until they are accepted
 	}
 	if err != nil {
 		unix.Close(fd)
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -14,8 +14,8 @@
 // Header is the field's name in lower case.
 const Header = "endpoint-load-metrics"
 
-// Load is a media node's load report: its streams, running or being set up, and the load of its link (X0) and of its
-// rack's uplink (X1), each as the ratio of demand to capacity.
+// Load is a media node's load report: its streams, running or being set up, and the load of its link (metric x0) and
+// of its rack's uplink (metric x1), each as the ratio of demand to capacity.
 type Load struct {
 	Present                       bool // at least one of the metrics was reported
 	Streams, LinkLoad, UplinkLoad float64
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -1,4 +1,4 @@
-// Package cluster runs a small fleet on loopback for rehearsals and manual
+// Package cluster runs a small cluster on loopback for scenario runs and manual
 // trials: the discovery stand-in in this process, directors and media nodes in
 // processes of their own, and optionally relays between them. Its input is a
 // Spec; settings, keys, logs and the processes' error output are files in
@@ -30,7 +30,7 @@
 	"headmill/internal/token"
 )
 
-// Spec describes a fleet.
+// Spec describes a cluster.
 type Spec struct {
 	Directors, Nodes      int              // number of directors and of media nodes
 	Racks                 int              // media nodes are spread over the racks in turn
@@ -39,12 +39,12 @@
 	NodeConfig            medianode.Config // configuration that all media nodes share
 	DiscoveryStateDelayMs float64          // discovery.Config.StateDelayMs
 	DiscoveryStartDelayMs float64          // discovery.Config.StartDelayMs
-	HeartbeatTimeoutMs    float64          // discovery.Config.SilentMs
+	HeartbeatTimeoutMs    float64          // discovery.Config.HeartbeatTimeoutMs
 	Executable            string           // path of the headmill executable
 	Dir                   string           // folder for settings, keys and logs
 }
 
-// Proc is one process of the fleet.
+// Proc is one process of the cluster.
 type Proc struct {
 	Name     string
 	Addr     string // listen address, behind the relay if there is one
@@ -88,18 +88,17 @@
 
 // Member is a director or a media node with its relays.
 type Member struct {
-	Name           string                  // d0, d1, ... for directors; b0, b1, ... for media nodes
-	Relay          *relay.Relay            // from viewers to a director, or from directors to a media node; nil: none
-	DiscoveryRelay *relay.Relay            // from a director to discovery; nil: none
-	Boxes          map[string]*relay.Relay // not set: directors reach the media nodes through the nodes' relays
-	URL            string                  // base URL of a director for viewers
-	Proc           *Proc                   // nil until started
-	SettingsPath   string                  // path of a director's settings
-	NodeConfig     medianode.Config        // configuration of a media node
-	listenerFile   *os.File                // listening socket that a director inherits at each start
+	Name           string           // d0, d1, ... for directors; b0, b1, ... for media nodes
+	Relay          *relay.Relay     // from viewers to a director, or from all directors to a media node; nil: none
+	DiscoveryRelay *relay.Relay     // from a director to discovery; nil: none
+	URL            string           // base URL of a director for viewers
+	Proc           *Proc            // nil until started
+	SettingsPath   string           // path of a director's settings
+	NodeConfig     medianode.Config // configuration of a media node
+	listenerFile   *os.File         // listening socket that a director inherits at each start
 }
 
-// Cluster is a running fleet.
+// Cluster is a running cluster of directors, media nodes and discovery.
 type Cluster struct {
 	Spec      Spec
 	Log       *relay.Log // records of all relays
@@ -137,6 +136,7 @@
 		node.NodeConfig.Cell, node.NodeConfig.Rack = i, i%spec.Racks
 		node.NodeConfig.Keys, node.NodeConfig.DiscoveryAddr = cluster.Keys, cluster.Discovery.Addr()
 		if spec.Relays {
+			// Port 1 stands for no target: StartNode sets it.
 			if node.Relay, err = relay.New(cluster.Log, node.Name, "127.0.0.1:1", false); err != nil {
 				return nil, err
 			}
@@ -322,6 +322,7 @@
 	client := &http.Client{Timeout: time.Second}
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if !director.Proc.Alive() {
+			// External text, hence the prefix "stage" in place of the package's name.
 			return fmt.Errorf("stage: %s has ended: %w", director.Name, director.Proc.Err)
 		}
 		if resp, err := client.Get("http://" + director.Proc.Addr + "/healthz"); err == nil {
--- a/internal/standin/cluster/small.go
+++ b/internal/standin/cluster/small.go
@@ -7,8 +7,8 @@
 	"headmill/internal/standin/medianode"
 )
 
-// SmallSpec returns the specification of a fleet for loopback. Its rates are a small part of real ones, so that one machine
-// can carry the whole fleet. durationMs is the duration of the shortest titles.
+// SmallSpec returns the specification of a cluster for loopback. Its rates are a small part of real ones, so that one
+// machine can carry the whole cluster. durationMs is the duration of the shortest titles.
 func SmallSpec(directors, nodes, titles int, durationMs float64) Spec {
 	settings := config.Default()
 	settings.Ladder = config.Ladder{RateKB: []float64{6, 14, 28, 56}, Worth: []float64{0.2, 0.5, 0.76, 1},
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -29,7 +29,7 @@
 	GiveUp       time.Duration // longest wait for a manifest
 	WatchTime    time.Duration // how long the viewer wants to watch, retries included
 	Seed         uint64
-	// Token mints a session token for a new session of this viewer.
+	// Token returns a newly signed session token for a new session of this viewer.
 	Token func() string
 	// Director returns the base URL of the director for the next request.
 	Director         func(rng *rand.Rand) string
--- a/internal/standin/scenario/script.go
+++ b/internal/standin/scenario/script.go
@@ -1,7 +1,8 @@
-// Package scenario rehearses a scripted bad day against real directors. Its
-// input is a script in TOML. It generates viewers, injects the script's
-// troubles into media nodes, relays and processes, and returns the audit report
-// on what the relays recorded.
+// Package scenario runs a scripted load with faults against real directors and
+// stand-ins, for the command "headmill rehearse". Its input is a script in TOML.
+// It generates viewers, injects the script's troubles (faults) into media nodes,
+// relays and processes, and returns the audit report on what the relays
+// recorded.
 package scenario
 
 import (
@@ -14,9 +15,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Script describes a bad day. Troubles have the names and columns under which operators record them.
+// Script describes a scenario. Troubles are its faults; they have the names and columns under which operators record them.
 type Script struct {
-	Seconds            float64        `toml:"seconds"` // length of the day
+	Seconds            float64        `toml:"seconds"` // length of the scenario
 	Rate               float64        `toml:"rate"`    // new viewers per second
 	Directors          int            `toml:"directors"`
 	Nodes              int            `toml:"boxes"` // media nodes
@@ -28,7 +29,7 @@
 	MaxRetryAfterS     float64        `toml:"advice_s"` // longest Retry-After of a refusal
 	AdmissionControl   string         `toml:"gate"`     // "off": admission control passes all requests, for comparison
 	CapacityFactor     float64        `toml:"room"`     // factor on the nodes' links, uplinks and session limits; 0: unchanged
-	OnlyTenant         string         `toml:"only"`     // if set, only viewers of this tenant come
+	OnlyTenant         string         `toml:"only"`     // if set, there are viewers of this tenant only
 	DirectorSettings   map[string]any `toml:"settings"` // overrides of the directors' settings, under their keys
 	NodeSettings       map[string]any `toml:"box"`      // overrides of the nodes' medianode.Config
 	Troubles           []Trouble      `toml:"trouble"`
@@ -49,11 +50,11 @@
 	return nil
 }
 
-// Trouble is one fault of the day.
+// Trouble is one injected fault of a scenario.
 type Trouble struct {
 	Name      string  `toml:"name"`
-	AtS       float64 `toml:"at_s"`  // begin, since the start
-	DurationS float64 `toml:"len_s"` // length
+	AtS       float64 `toml:"at_s"`  // start, in seconds since the scenario's start
+	DurationS float64 `toml:"len_s"` // duration
 	Fraction  float64 `toml:"part"`  // share of media nodes or directors that are affected, at least one
 	Magnitude float64 `toml:"size"`  // strength; its meaning depends on the trouble
 	Extra     float64 `toml:"extra"` // accepted and not used
@@ -69,7 +70,7 @@
 // unsupportedTroubles are troubles that operators record and this version does not support yet.
 var unsupportedTroubles = []string{"neighbour", "hot_key", "zone_cut", "balancer_roll", "report_gap", "shared_slow"}
 
-// BuiltIn is the script that is played by default.
+// BuiltIn is the script that is run by default.
 const BuiltIn = `# A bad day of half a minute: every trouble that this version plays, some of them together.
 seconds = 30
 rate = 30
@@ -210,7 +211,7 @@
 		s.Nodes, s.Seed, strings.Join(names, ", "))
 }
 
-// Cut sets the length of the day. Troubles that would begin after its end are removed, and the others end with it at
+// Cut sets the length of the scenario. Troubles that would begin after its end are removed, and the others end with it at
 // the latest.
 func (s *Script) Cut(seconds float64) {
 	s.Seconds = seconds
--- a/internal/token/pool.go
+++ b/internal/token/pool.go
@@ -43,7 +43,7 @@
 }
 
 // VerifyAsync verifies the signature of a token, from the cache at once or in the pool. done is called on the owner's
-// goroutine, possibly within this call. Begin returns false if the pool's queue is full.
+// goroutine, possibly within this call. VerifyAsync returns false if the pool's queue is full.
 func (c *Checker) VerifyAsync(p *Pool, raw string, done func(*Claims, error)) bool {
 	if claims := c.lookup(raw); claims != nil {
 		done(claims, nil)
@@ -53,10 +53,10 @@
 		done(nil, err)
 		return true
 	}
-	generation := c.keySetVersion
+	keySetVersion := c.keySetVersion
 	select {
 	case p.jobs <- job{c.keys, raw, func(claims *Claims, err error) {
-		if generation != c.keySetVersion { // the keys have changed meanwhile, so the result may be outdated
+		if keySetVersion != c.keySetVersion { // the keys have changed meanwhile, so the result may be outdated
 			claims, err = verify(c.keys, raw)
 		}
 		if err == nil {
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -34,14 +34,14 @@
 	jwt.RegisteredClaims
 }
 
-// Validate checks that all required claims are present and within their bounds; the error names the first violation. It
-// is called once the signature has been verified.
+// Validate checks that all required claims are present and within their bounds; the error names the first violation.
+// Sign calls it before signing, the verification once the signature has been verified.
 func (c *Claims) Validate() error {
 	switch {
 	case c.ID == "":
 		return errors.New("claim jti is missing")
 	case len(c.ID) > 64 || len(c.Subject) > 128 || len(c.Title) > 128 || len(c.Class) > 64 ||
-		len(c.Tenant) > 64 || len(c.Family) > 64:
+		len(c.Tenant) > 64 || len(c.Family) > 64: // bytes
 		return errors.New("a claim is longer than allowed")
 	case c.Subject == "":
 		return errors.New("claim sub (the viewer) is missing")
@@ -49,7 +49,7 @@
 		return errors.New("claims title and class are needed")
 	case c.ExpiresAt == nil || c.IssuedAt == nil:
 		return errors.New("claims exp and iat are needed")
-	case c.MaxRung < 0 || c.MaxRung > 63:
+	case c.MaxRung < 0 || c.MaxRung > 63: // rungs are numbered from 0; a token can name 64 at most
 		return errors.New("claim top is not a rung")
 	}
 	return nil
@@ -64,6 +64,8 @@
 	ErrUnknownKey  = errors.New("session token is signed with a key that is not in the key set")
 )
 
+// The precision of times in tokens is a setting of the library for the whole process. In milliseconds rather than its
+// default of seconds, iat gives the exact age of the tokens that this package signs.
 func init() { jwt.TimePrecision = time.Millisecond }
 
 // Key is a key pair; Private is nil if the key can only verify signatures.
@@ -190,7 +192,7 @@
 	c.current, c.previous = map[string]*Claims{}, nil
 }
 
-// Cached returns the number of cache entries.
+// Cached returns the number of cache entries; a token that is in both generations counts twice.
 func (c *Checker) Cached() int { return len(c.current) + len(c.previous) }
 
 // Check returns the claims of a raw token that is valid at now. The claims are shared with the cache and must not be
@@ -207,7 +209,7 @@
 }
 
 // CheckTimes checks exp, nbf and iat of claims whose signature has been verified against now. iat may lie up to a minute
-// plus the leeway in the future.
+// plus the leeway in the future, nbf up to the leeway.
 func (c *Checker) CheckTimes(claims *Claims, now time.Time) error {
 	switch {
 	case !now.Before(claims.ExpiresAt.Add(c.leeway)):
@@ -234,6 +236,7 @@
 	return claims, err
 }
 
+// lookup returns the claims of a cached token, or nil. An entry of the older generation is added to the newer one.
 func (c *Checker) lookup(raw string) *Claims {
 	if claims := c.current[raw]; claims != nil {
 		return claims
@@ -257,7 +260,7 @@
 	if raw == "" {
 		return ErrMissing
 	}
-	if len(raw) > 4096 {
+	if len(raw) > 4096 { // bytes
 		return fmt.Errorf("%w: longer than 4096 bytes", ErrInvalid)
 	}
 	return nil
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -98,7 +98,7 @@
 	return r.claims, r.err
 }
 
-// A token is rejected if its key is removed while it is being verified, and Begin reports a full queue.
+// A token is rejected if its key is removed while it is being verified, and VerifyAsync reports a full queue.
 func TestPoolKeyRemovalAndFullQueue(t *testing.T) {
 	now := time.Now()
 	a := testKey("a", 1)
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -72,7 +72,7 @@
 	}
 	t := &Tracer{file: file, director: director, sampleBelow: math.MaxUint64}
 	if fraction < 1 {
-		t.sampleBelow = uint64(math.Max(fraction, 0) * (1 << 63) * 2)
+		t.sampleBelow = uint64(math.Max(fraction, 0) * (1 << 63) * 2) // fraction x 2^64
 	}
 	t.provider = sdk.NewTracerProvider(sdk.WithBatcher(exporter, sdk.WithBatchTimeout(time.Second)),
 		sdk.WithIDGenerator(idGenerator{}))
@@ -91,7 +91,7 @@
 	return err
 }
 
-// SessionTrace is the trace of one session. All methods of a nil Story do nothing.
+// SessionTrace is the trace of one session. All methods of a nil SessionTrace do nothing.
 type SessionTrace struct {
 	tracer        *Tracer
 	ctx           context.Context
@@ -110,7 +110,7 @@
 	return s
 }
 
-// StartAttempt starts the span of an attempt. Settle ends it.
+// StartAttempt starts the span of an attempt. EndAttempt ends it.
 func (s *SessionTrace) StartAttempt(attrs ...attribute.KeyValue) {
 	if s != nil {
 		_, s.attempt = s.tracer.tracer.Start(s.ctx, "attempt", oteltrace.WithAttributes(attrs...))
@@ -137,7 +137,7 @@
 	}
 }
 
-// AddEvent adds an event to the span of the playback. It is ignored before Play.
+// AddEvent adds an event to the span of the playback. It is ignored before StartPlayback.
 func (s *SessionTrace) AddEvent(event string, attrs ...attribute.KeyValue) {
 	if s != nil && s.play != nil {
 		s.play.AddEvent(event, oteltrace.WithAttributes(attrs...))
@@ -158,14 +158,14 @@
 	s.root, s.play = nil, nil
 }
 
-// Entry is one entry of a session's trace in text form: the begin or end of a span, or an event.
+// Entry is one entry of a session's trace in text form: the start or end of a span, or an event.
 type Entry struct {
 	At   time.Time
 	Text string
 }
 
-// ReadSession reads a file of traces and returns the entries of the session with a jti, by time. If some lines of the file are
-// not valid, it returns the entries of the others and an error with the number of invalid lines.
+// ReadSession reads a file of traces and returns the entries of the session with a jti, by time. If some lines of the
+// file are not valid, it returns the entries of the others and an error with the number of invalid lines.
 func ReadSession(r io.Reader, jti string) ([]Entry, error) {
 	// The types have the part of stdouttrace's JSON that is shown.
 	type attr struct {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// All directors sample the same sessions, at about the configured fraction. The methods of a nil Story and of a nil
-// Tracer do nothing.
+// All directors sample the same sessions, at about the configured fraction. The methods of a nil SessionTrace and of
+// a nil Tracer do nothing.
 func TestSampling(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t.json")
 	var sampledSum [2]int // of the sampled sessions' numbers
--- a/internal/ws/ws.go
+++ b/internal/ws/ws.go
@@ -63,7 +63,7 @@
 type Message struct {
 	Op      Opcode
 	Payload []byte
-	Code    int // status code of a Close frame; 1005 if it has none
+	Code    int // status code of a Close frame; 1005 (RFC 6455 section 7.4.1: no status received) if it has none
 }
 
 // Reader parses the frames that a client sends. The zero value with Max set is ready for use.
@@ -329,7 +329,7 @@
 }
 
 // AppendClose appends a close frame. A reason that is too long for a control frame is truncated at a character boundary;
-// code 1005 gives a frame without a payload.
+// code 1005 (no status, which is never sent itself) gives a frame without a payload.
 func AppendClose(b []byte, code int, reason string) []byte {
 	if code == 1005 {
 		return AppendFrame(b, OpClose, nil)
